--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -8,7 +8,7 @@
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/job/owner"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
@@ -79,8 +79,8 @@
 	ho.roster = &roster.Roster{
 		Self: self.ID, Holder: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
 	}
-	com := &owner.Committer{Log: ho.node, Wall: wall}
-	own := &owner.Owner{
+	com := &scheduler.Committer{Log: ho.node, Wall: wall}
+	own := &scheduler.Owner{
 		Store: str, Committer: com, Lead: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
 		Lease: workerLease, Retention: ho.Retention, Leading: ho.Leading, HolderName: ho.Name, OrderPause: ho.Turn,
 	}
--- a/internal/job/owner/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -7,7 +7,7 @@
 //
 //	ow := &owner.Owner{Store: st, Committer: cm, Lead: nd, Workers: calls, ...}
 //	go ow.Run(ctx)
-package owner
+package scheduler
 
 import (
 	"context"
--- a/internal/job/owner/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"testing"
--- a/internal/job/service/service.go
+++ b/internal/job/service/service.go
@@ -13,7 +13,7 @@
 
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/duty/fault"
-	"greengageweir/internal/job/owner"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
@@ -48,8 +48,8 @@
 type Service struct {
 	Self      string
 	Store     *store.Store
-	Committer *owner.Committer
-	Owner     *owner.Owner
+	Committer *scheduler.Committer
+	Owner     *scheduler.Owner
 	Lead      Lead
 	Links     *links.Links
 	Clock     weir.Clock
@@ -205,7 +205,7 @@
 // failure is the reply to a call whose change was not committed, or perhaps
 // not.
 func failure(err error) jobapi.Reply {
-	if fault.Is(err, owner.KindBusy) || fault.Is(err, node.KindBusy) || fault.Is(err, node.KindNotLeader) {
+	if fault.Is(err, scheduler.KindBusy) || fault.Is(err, node.KindBusy) || fault.Is(err, node.KindNotLeader) {
 		return jobapi.Reply{Outcome: jobapi.Unavailable, Reason: err.Error(), RetryAfter: retryUnavailable}
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: err.Error()}
--- a/internal/job/service/service_test.go
+++ b/internal/job/service/service_test.go
@@ -20,7 +20,7 @@
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/fault"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/job/owner"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
@@ -54,7 +54,7 @@
 // Advise implements weir.Adviser.
 func (sy *system) Advise(context.Context, weir.TaskRef, []weir.InstanceID) (weir.Advice, error) {
 	if sy.asked.Add(1) == 1 {
-		return weir.Advice{}, &owner.Error{Op: "advise", Kind: owner.KindBusy}
+		return weir.Advice{}, &scheduler.Error{Op: "advise", Kind: scheduler.KindBusy}
 	}
 	return weir.Advice{Tickets: map[weir.InstanceID]string{"w1": "ticket"}, Validity: 500 * time.Millisecond}, nil
 }
@@ -86,8 +86,8 @@
 		ID: self, Dir: sy.dir, Machine: str, Send: lks.Send, Clock: steady, Logger: lg,
 		Heartbeat: 20 * time.Millisecond, Election: 150 * time.Millisecond,
 	}
-	com := &owner.Committer{Log: nod, Wall: wall}
-	own := &owner.Owner{
+	com := &scheduler.Committer{Log: nod, Wall: wall}
+	own := &scheduler.Owner{
 		Store: str, Committer: com, Lead: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -19,7 +19,7 @@
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/fault"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/job/owner"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
@@ -168,12 +168,12 @@
 
 // build makes the parts of the program that lead, and the fleet.
 func (sg *stage) build(ctx context.Context) []weir.Step {
-	com := &owner.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
+	com := &scheduler.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
 	sg.fleet = &fleet.Fleet{
 		Clock: sg.clock, Task: sg.task, Announce: func(wk store.Worker) { sg.announce(ctx, wk) }, Standby: standby,
 		MoveTime: sg.Load.MoveTime, MaintenanceTime: 2 * time.Second,
 	}
-	own := &owner.Owner{
+	own := &scheduler.Owner{
 		Store: sg.store, Committer: com, Lead: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 		Lease: 3 * time.Second, Retention: time.Minute, OrderPause: 3500 * time.Millisecond,
 	}
