--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 
@@ -27,7 +27,7 @@
 const KindInvalid Kind = "configuration is not valid"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Advice tells how the adviser of a queue answers.
 type Advice struct {
--- a/internal/contract/jobhttp/client.go
+++ b/internal/contract/jobhttp/client.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 )
@@ -25,7 +25,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // retryPause separates rounds over all addresses.
 const retryPause = 150 * time.Millisecond
--- a/internal/contract/operator/client.go
+++ b/internal/contract/operator/client.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 
 	"github.com/pkg/errors"
@@ -28,7 +28,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const maxAnswerBytes = 64 << 20
 
@@ -117,4 +117,4 @@
 }
 
 // IsUnreachable reports whether no control process answered.
-func IsUnreachable(err error) bool { return fault.Is(err, KindUnreachable) }
+func IsUnreachable(err error) bool { return errkind.Is(err, KindUnreachable) }
--- a/internal/contract/platform/platform.go
+++ b/internal/contract/platform/platform.go
@@ -16,7 +16,7 @@
 	"net/http"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -31,7 +31,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // AnyZone is the key of the address for zones without their own.
 const AnyZone weir.Zone = "*"
--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -18,7 +18,7 @@
 	"net/http"
 	"strconv"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/link/httpconn"
 
@@ -38,7 +38,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	startPath = "/v1/runs/start"
--- a/internal/control/serve/service.go
+++ b/internal/control/serve/service.go
@@ -14,7 +14,7 @@
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/control/hub"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/machine"
 	"greengageweir/internal/link/peer"
@@ -36,7 +36,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Service answers calls. Set the exported fields before use.
 type Service struct {
--- a/internal/duty/access/access.go
+++ b/internal/duty/access/access.go
@@ -15,7 +15,7 @@
 	"path/filepath"
 	"strings"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/labstack/echo/v4"
 )
@@ -31,7 +31,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	minTokenLength = 16
--- a/internal/duty/fault/fault.go
+++ b/internal/duty/errkind/fault.go
@@ -6,7 +6,7 @@
 //	type Kind string
 //	type Error = fault.Error[Kind]
 //	return &Error{Op: "open", Kind: KindLocked, Err: err}
-package fault
+package errkind
 
 import (
 	"fmt"
--- a/internal/duty/logs/logs.go
+++ b/internal/duty/logs/logs.go
@@ -11,7 +11,7 @@
 	"io"
 	"sync/atomic"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/go-kit/log"
 )
@@ -23,7 +23,7 @@
 const KindLevel Kind = "unknown level, one of debug, info, warn, error"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 var ranks = map[string]int32{"debug": 0, "info": 1, "warn": 2, "error": 3}
 
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"greengageweir/internal/duty/access"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logs"
 
@@ -33,7 +33,7 @@
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	maxBody         = "32M"
--- a/internal/duty/settings/settings.go
+++ b/internal/duty/settings/settings.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 // Kind tells the errors of this package apart.
@@ -27,7 +27,7 @@
 const KindInvalid Kind = "settings are not valid"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/place"
 	"greengageweir/internal/link/peer"
@@ -128,7 +128,7 @@
 		return weir.Answer{}, false
 	}
 	ans, err := dp.callAt(ctx, id, peerapi.EntryCall, req, 2*flightGrace)
-	if fault.Is(err, peer.KindNotSent) {
+	if errkind.Is(err, peer.KindNotSent) {
 		return weir.Answer{}, false
 	}
 	if err != nil {
@@ -342,7 +342,7 @@
 func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Answer, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
-		if !fault.Is(err, place.KindNoSlot) {
+		if !errkind.Is(err, place.KindNoSlot) {
 			return weir.AnswerNotRun(err.Error()), false
 		}
 		if id, ok := dp.Mesh.Pick(req.Service); ok {
@@ -361,7 +361,7 @@
 func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Answer, bool) {
 	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, patience(req))
 	switch {
-	case fault.Is(err, peer.KindNotSent):
+	case errkind.Is(err, peer.KindNotSent):
 		dp.Mesh.Exhausted(id, req.Service)
 		return weir.Answer{}, true
 	case err != nil:
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/place"
 	"greengageweir/internal/link/httpconn"
 
@@ -60,7 +60,7 @@
 // against the endpoint, since a silent one shows itself in no other way.
 func brokenAnswer(slot *place.Slot, err error) (weir.Answer, bool) {
 	slot.Release(place.Failed)
-	if fault.Is(err, httpconn.KindNotSent) {
+	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.AnswerNotRun("endpoint not reached"), true
 	}
 	return weir.AnswerUnknown(err.Error()), false
--- a/internal/entry/front/front.go
+++ b/internal/entry/front/front.go
@@ -18,7 +18,7 @@
 
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/caller"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/ledger"
 
@@ -38,7 +38,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// maxBodyBytes bounds a caller's body.
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -38,7 +38,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// MaxSkew is how far the clocks of entry instances and of callers that
--- a/internal/entry/place/place_test.go
+++ b/internal/entry/place/place_test.go
@@ -12,7 +12,7 @@
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/view"
 )
 
@@ -58,13 +58,13 @@
 		slots = append(slots, slot)
 	}
 	_, err := tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	slots[0].Release(Succeeded)
 	slots[0].Release(Succeeded) // a second release does nothing
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 }
 
 func TestLeaseTable(t *testing.T) {
@@ -97,13 +97,13 @@
 	leaving.State = endpoint.Leaving
 	tb.Announce(leaving)
 	_, err := tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	require.False(t, tb.Sweep("e", true)[0].Up)
 
 	tb, clk = testTable(t, 1)
 	clk.Advance(LeaseTime)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	require.False(t, tb.Sweep("e", false)[0].Up)
 	require.Empty(t, tb.Sweep("e", true))
 }
@@ -119,7 +119,7 @@
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot), "one slot is still used")
+	require.True(t, errkind.Is(err, KindNoSlot), "one slot is still used")
 	tb.Announce(ann) // ours is the one in flight now
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
@@ -236,7 +236,7 @@
 		done = append(done, wait(tb, req))
 	}
 	_, err = tb.Acquire(context.Background(), request(clk), nil)
-	require.True(t, fault.Is(err, KindFull))
+	require.True(t, errkind.Is(err, KindFull))
 	one.Release(Succeeded)
 	for _, ch := range done {
 		require.NoError(t, <-ch)
@@ -264,7 +264,7 @@
 	hasty := request(clk)
 	hasty.Deadline = clk.Now().Add(time.Second)
 	_, err := tb.Acquire(context.Background(), hasty, nil)
-	require.True(t, fault.Is(err, KindLate))
+	require.True(t, errkind.Is(err, KindLate))
 	slots[0].Release(Succeeded)
 	require.NoError(t, <-first)
 	require.NoError(t, <-second)
@@ -380,7 +380,7 @@
 	second := wait(tb, request(clk))
 	clk.Advance(1500 * time.Millisecond)
 	slots[0].Release(Succeeded)
-	require.True(t, fault.Is(<-first, KindDeadline), "refused while the caller still waits")
+	require.True(t, errkind.Is(<-first, KindDeadline), "refused while the caller still waits")
 	require.NoError(t, <-second)
 }
 
--- a/internal/entry/place/table.go
+++ b/internal/entry/place/table.go
@@ -20,7 +20,7 @@
 
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
@@ -42,7 +42,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Table holds the endpoints leased to this entry instance. It is safe for
 // concurrent use.
@@ -217,7 +217,7 @@
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	slot, err := tb.tryAcquire(now, req)
-	if err == nil || !fault.Is(err, KindNoSlot) {
+	if err == nil || !errkind.Is(err, KindNoSlot) {
 		return nil, slot, err
 	}
 	svc, _ := tb.view.Config.ServiceAt(tb.zone, req.Service)
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/member/roster"
@@ -64,7 +64,7 @@
 			case err == nil:
 				rl.Roster.SetLeader(rep.Leader)
 				return rep
-			case !fault.Is(err, peer.KindNotSent):
+			case !errkind.Is(err, peer.KindNotSent):
 				open, reason = true, err.Error()
 				rl.Roster.SetLeader("")
 			}
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -15,7 +15,7 @@
 
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
@@ -36,7 +36,7 @@
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Service answers the other entry instances. Set the exported fields first.
 type Service struct {
--- a/internal/fleet/machine/machine.go
+++ b/internal/fleet/machine/machine.go
@@ -17,7 +17,7 @@
 	"sync"
 
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 
@@ -31,7 +31,7 @@
 const KindDecode Kind = "cannot decode"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	keptRequests = 20_000
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -24,7 +24,7 @@
 const KindGap Kind = "effects are missing"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Phase is where an instance is between serving and maintenance.
 type Phase string
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -7,7 +7,7 @@
 
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 func TestViewGoesForwardOnly(t *testing.T) {
@@ -27,5 +27,5 @@
 		require.Equal(t, newer, again)
 	}
 	_, err = newer.With(Effect{After: 8, Index: 9})
-	require.True(t, fault.Is(err, KindGap))
+	require.True(t, errkind.Is(err, KindGap))
 }
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
 
@@ -35,7 +35,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// roundPause is the least time between two rounds of decisions, so that
--- a/internal/job/service/service.go
+++ b/internal/job/service/service.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
@@ -161,7 +161,7 @@
 		return rep, false
 	case err == nil:
 		return rep, true
-	case fault.Is(err, peer.KindNotSent) || fault.Is(err, links.KindNoPeer):
+	case errkind.Is(err, peer.KindNotSent) || errkind.Is(err, links.KindNoPeer):
 		return jobapi.Reply{}, false
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: "no answer from the leader"}, true
@@ -205,7 +205,7 @@
 // failure is the reply to a call whose change was not committed, or perhaps
 // not.
 func failure(err error) jobapi.Reply {
-	if fault.Is(err, scheduler.KindBusy) || fault.Is(err, node.KindBusy) || fault.Is(err, node.KindNotLeader) {
+	if errkind.Is(err, scheduler.KindBusy) || errkind.Is(err, node.KindBusy) || errkind.Is(err, node.KindNotLeader) {
 		return jobapi.Reply{Outcome: jobapi.Unavailable, Reason: err.Error(), RetryAfter: retryUnavailable}
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: err.Error()}
--- a/internal/job/service/service_test.go
+++ b/internal/job/service/service_test.go
@@ -18,7 +18,7 @@
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/service"
@@ -231,7 +231,7 @@
 	refused := func(outcome jobapi.Outcome, method, path string, body any) {
 		t.Helper()
 		ans, err := sy.do(method, path, body)
-		require.True(t, fault.Is(err, jobhttp.KindRefused), "%v", err)
+		require.True(t, errkind.Is(err, jobhttp.KindRefused), "%v", err)
 		require.Equal(t, outcome, ans.Outcome)
 	}
 	put(t, sy)
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 
@@ -25,7 +25,7 @@
 const KindInvalid Kind = "job is not valid"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // The bounds of one job. They keep a job within one entry of the log.
 const (
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"greengageweir/internal/config/catalog"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/job/spec"
 
@@ -32,7 +32,7 @@
 const KindFormat Kind = "unreadable"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Answer is what became of one change.
 type Answer struct {
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 	"github.com/valyala/fasthttp"
@@ -41,7 +41,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// ProofAge is how long a connection counts as proven after it answered.
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 // scripted serves each connection with a function and counts connections.
@@ -97,7 +97,7 @@
 				require.Equal(t, "ok", string(resp.Body))
 				return
 			}
-			require.True(t, fault.Is(err, tc.kind), "got %v", err)
+			require.True(t, errkind.Is(err, tc.kind), "got %v", err)
 		})
 	}
 }
@@ -108,12 +108,12 @@
 	addr := lis.Addr().String()
 	require.NoError(t, lis.Close())
 	_, err = NewPool(addr, 1, clock.System{}).Do(context.Background(), booking)
-	require.True(t, fault.Is(err, KindNotSent), "nobody listens")
+	require.True(t, errkind.Is(err, KindNotSent), "nobody listens")
 
 	pl := NewPool(addr, 1, clock.System{})
 	pl.limit <- struct{}{}
 	_, err = pl.Do(context.Background(), booking)
-	require.True(t, fault.Is(err, KindNotSent), "all connections in use")
+	require.True(t, errkind.Is(err, KindNotSent), "all connections in use")
 }
 
 // TestUnprovenConnection lets a kept connection go silent. Only a request
@@ -140,7 +140,7 @@
 	read := booking
 	read.Repeatable = true
 	_, err = pl.Do(ctx, read)
-	require.True(t, fault.Is(err, KindBroken), "a read may find out")
+	require.True(t, errkind.Is(err, KindBroken), "a read may find out")
 	require.Equal(t, int32(2), conns.Load())
 }
 
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -16,7 +16,7 @@
 	"encoding/json"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/sourcegraph/jsonrpc2"
 )
@@ -37,7 +37,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// ProtocolVersion is sent in each greeting.
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 const testToken = "a-token-of-the-test"
@@ -65,8 +65,8 @@
 	var got string
 	require.NoError(t, cl.Call(context.Background(), "echo", "hi", &got))
 	require.Equal(t, "e1:hi", got)
-	require.True(t, fault.Is(cl.Call(context.Background(), "nothing", 1, nil), KindRemote))
-	require.True(t, fault.Is(cl.Call(context.Background(), "echo", 1, nil), KindRemote), "wrong type")
+	require.True(t, errkind.Is(cl.Call(context.Background(), "nothing", 1, nil), KindRemote))
+	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", 1, nil), KindRemote), "wrong type")
 }
 
 func TestWrongTokenIsRefused(t *testing.T) {
@@ -76,7 +76,7 @@
 	time.Sleep(200 * time.Millisecond)
 	require.False(t, cl.Ready())
 	require.False(t, called.Load())
-	require.True(t, fault.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
+	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
 }
 
 func TestOversizedFrameEndsTheLink(t *testing.T) {
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -15,7 +15,7 @@
 	"sync"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/state/replica"
 
@@ -30,7 +30,7 @@
 const KindNoPeer Kind = "no such process"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // ringSlots bounds the messages that wait to be sent to one member; with
 // entries of some kilobytes it is a few megabytes.
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"sync/atomic"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/standin/taskworker"
@@ -34,7 +34,7 @@
 const KindSilent Kind = "no answer"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// oneWay is how long a message takes in each direction.
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -17,7 +17,7 @@
 
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/service"
@@ -44,7 +44,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// syncTime is how long the log takes for an entry: a sync here, the way to
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -19,7 +19,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 )
 
@@ -30,7 +30,7 @@
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Route forwards what comes from one zone to a process in another.
 type Route struct {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 
 	weir "greengageweir"
@@ -33,7 +33,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	defaultSlots    = 8
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/state/replica"
 	"greengageweir/internal/state/wal"
 
@@ -41,7 +41,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	tickEvery        = 10 * time.Millisecond
@@ -327,7 +327,7 @@
 	index, term, err := nd.core.Propose(prop.data)
 	if err != nil {
 		kind := KindNotLeader
-		if fault.Is(err, replica.KindBacklog) {
+		if errkind.Is(err, replica.KindBacklog) {
 			kind = KindBusy
 		}
 		prop.reply <- result{err: &Error{Op: "propose", Kind: kind}}
--- a/internal/state/replica/types.go
+++ b/internal/state/replica/types.go
@@ -22,7 +22,7 @@
 package replica
 
 import (
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 // Kind tells the errors of this package apart.
@@ -38,7 +38,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // EntryKind tells what an entry carries.
 type EntryKind string
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -25,7 +25,7 @@
 	"strings"
 	"syscall"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/state/replica"
 
 	"github.com/google/uuid"
@@ -44,7 +44,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	lockName     = "LOCK"
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/state/replica"
 )
 
@@ -72,7 +72,7 @@
 func TestFormatTwiceIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, Format(dir, false))
-	require.True(t, fault.Is(Format(dir, false), KindExists))
+	require.True(t, errkind.Is(Format(dir, false), KindExists))
 }
 
 func TestSecondProcessIsRefused(t *testing.T) {
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	defer lg.Close()
 	_, _, err = Open(dir)
-	require.True(t, fault.Is(err, KindLocked))
+	require.True(t, errkind.Is(err, KindLocked))
 }
 
 func TestOverwrittenTail(t *testing.T) {
@@ -119,7 +119,7 @@
 			require.NoError(t, os.WriteFile(path, tc.damage(body), fileMode))
 			lg, st, err := Open(dir)
 			if tc.kept < 0 {
-				require.True(t, fault.Is(err, KindCorrupt), "got %v", err)
+				require.True(t, errkind.Is(err, KindCorrupt), "got %v", err)
 				return
 			}
 			require.NoError(t, err)
