--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -80,7 +80,7 @@
 		Self: self.ID, Holder: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
 	}
 	com := &scheduler.Committer{Log: ho.node, Wall: wall}
-	own := &scheduler.Owner{
+	own := &scheduler.Scheduler{
 		Store: str, Committer: com, Lead: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
 		Lease: workerLease, Retention: ho.Retention, Leading: ho.Leading, HolderName: ho.Name, OrderPause: ho.Turn,
 	}
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -35,7 +35,7 @@
 // tickets returns the workers that may run a step now, and asks where nothing
 // valid is known. One question is under way at a time, since the adviser
 // answers a process in turn.
-func (ow *Owner) tickets(ctx context.Context, re *reign, rd store.Reader, step weir.TaskRef, qu catalog.Queue) map[weir.InstanceID]string {
+func (ow *Scheduler) tickets(ctx context.Context, re *reign, rd store.Reader, step weir.TaskRef, qu catalog.Queue) map[weir.InstanceID]string {
 	now := ow.Clock.Now()
 	ad := re.advice[step]
 	if ad != nil && now.Before(ad.until) {
@@ -56,7 +56,7 @@
 
 // candidates are the pool's workers that the adviser is asked about, those
 // with most room first.
-func (ow *Owner) candidates(re *reign, rd store.Reader, qu catalog.Queue) []weir.InstanceID {
+func (ow *Scheduler) candidates(re *reign, rd store.Reader, qu catalog.Queue) []weir.InstanceID {
 	usable := ow.usable(re, rd, ow.Clock.Now(), []demanded{{queue: qu}})
 	slices.SortFunc(usable, func(one, other workerView) int {
 		return cmp.Or(cmp.Compare(other.Free.MilliCPU, one.Free.MilliCPU), cmp.Compare(one.ID, other.ID))
@@ -70,7 +70,7 @@
 	return ids
 }
 
-func (ow *Owner) ask(ctx context.Context, re *reign, step weir.TaskRef, workers []weir.InstanceID, wait time.Duration) {
+func (ow *Scheduler) ask(ctx context.Context, re *reign, step weir.TaskRef, workers []weir.InstanceID, wait time.Duration) {
 	callCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	asked := ow.Clock.Now()
--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -34,7 +34,7 @@
 }
 
 // list reads the platform's list of machines, away from the round.
-func (ow *Owner) list(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) list(ctx context.Context, re *reign, now time.Time) {
 	md := re.machines
 	if md.listing || now.Sub(md.listedAt) < listEvery {
 		return
@@ -60,7 +60,7 @@
 }
 
 // balance moves machines to where they are needed.
-func (ow *Owner) balance(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) {
+func (ow *Scheduler) balance(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) {
 	md := re.machines
 	loads := ow.loads(rd)
 	machines := ow.fleet(re, rd, byMachine, now)
@@ -121,7 +121,7 @@
 }
 
 // loads sums up what the queues of each pool ask for.
-func (ow *Owner) loads(rd store.Reader) map[weir.PoolName]balance.Load {
+func (ow *Scheduler) loads(rd store.Reader) map[weir.PoolName]balance.Load {
 	wall := ow.Wall.Now()
 	loads := map[weir.PoolName]balance.Load{}
 	largest := 0
@@ -179,7 +179,7 @@
 }
 
 // fleet lists the machines and what they are doing.
-func (ow *Owner) fleet(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) []balance.Machine {
+func (ow *Scheduler) fleet(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) []balance.Machine {
 	md := re.machines
 	var out []balance.Machine
 	for name, wk := range byMachine {
--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -34,7 +34,7 @@
 
 // lastingFleet is a step of three lasting tasks, one each on w0, w1 and w2, of
 // which one may be away, and an owner with sessions to the workers.
-func lastingFleet(t *testing.T, percent map[string]int) (*Owner, *reign) {
+func lastingFleet(t *testing.T, percent map[string]int) (*Scheduler, *reign) {
 	st := store.New()
 	index := uint64(0)
 	apply := func(ch store.Change) {
@@ -46,7 +46,7 @@
 		require.True(t, answers[0].Taken, answers[0].Reason)
 	}
 	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, Lasting: true, MaxAway: 1}}}})
-	ow := &Owner{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, evicted: map[weir.RunKey]bool{}, machines: newMachineDuty(0)}
 	for ix := range 3 {
 		id := fmt.Sprint("w", ix)
@@ -74,7 +74,7 @@
 // elsewhere counts as away.
 func TestPlannedWorkRespectsTasksThatAreAway(t *testing.T) {
 	allWork := map[string]int{"w0": 100, "w1": 100, "w2": 100}
-	blocked := func(ow *Owner, re *reign) (found bool) {
+	blocked := func(ow *Scheduler, re *reign) (found bool) {
 		ow.Store.Read(func(rd store.Reader) {
 			step, _ := ow.blocked(re, rd, "w0")
 			found = step != nil
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -12,7 +12,7 @@
 	weir "greengageweir"
 )
 
-func (ow *Owner) recordEnds(re *reign, id weir.InstanceID, at *attended, out session.Outcome, now time.Time) {
+func (ow *Scheduler) recordEnds(re *reign, id weir.InstanceID, at *attended, out session.Outcome, now time.Time) {
 	changes := make([]store.Change, len(out.Ends))
 	for ix := range out.Ends {
 		en := &out.Ends[ix]
@@ -42,7 +42,7 @@
 }
 
 // tellEnded logs the jobs that recorded ends have brought to theirs.
-func (ow *Owner) tellEnded(ends []store.End) {
+func (ow *Scheduler) tellEnded(ends []store.End) {
 	told := map[weir.JobID]bool{}
 	ow.Store.Read(func(rd store.Reader) {
 		for _, en := range ends {
@@ -58,7 +58,7 @@
 }
 
 // dropWorker ends a life whose lease has surely lapsed.
-func (ow *Owner) dropWorker(re *reign, at *attended, now time.Time) {
+func (ow *Scheduler) dropWorker(re *reign, at *attended, now time.Time) {
 	if at.dropping {
 		return
 	}
@@ -76,7 +76,7 @@
 
 // leave returns the changes that end a worker's life. Runs that it listed with
 // a checkpoint keep it.
-func (ow *Owner) leave(re *reign, rd store.Reader, wk store.Worker, reason string) []store.Change {
+func (ow *Scheduler) leave(re *reign, rd store.Reader, wk store.Worker, reason string) []store.Change {
 	var changes []store.Change
 	for key := range rd.Runs(wk.ID) {
 		_ = ow.Logger.Log("level", "info", "msg", "run lost with its worker", "job", key.Task.Job, "task", key.Task,
@@ -97,7 +97,7 @@
 
 // Departed ends a worker's life on its own word. It reports false where this
 // process does not lead, or knows no such worker.
-func (ow *Owner) Departed(ctx context.Context, id weir.InstanceID) (bool, error) {
+func (ow *Scheduler) Departed(ctx context.Context, id weir.InstanceID) (bool, error) {
 	ow.mu.Lock()
 	re := ow.reign
 	var changes []store.Change
--- a/internal/job/scheduler/health.go
+++ b/internal/job/scheduler/health.go
@@ -49,7 +49,7 @@
 }
 
 // noteEnd learns from the end of a run.
-func (ow *Owner) noteEnd(re *reign, id weir.InstanceID, en store.End, now time.Time) {
+func (ow *Scheduler) noteEnd(re *reign, id weir.InstanceID, en store.End, now time.Time) {
 	hl := re.healthOf(id)
 	switch en.How {
 	case store.EndDone:
@@ -70,7 +70,7 @@
 }
 
 // noteRefusal learns from a start that a worker refused.
-func (ow *Owner) noteRefusal(re *reign, id weir.InstanceID, key weir.RunKey, reason weir.Refusal, now time.Time) {
+func (ow *Scheduler) noteRefusal(re *reign, id weir.InstanceID, key weir.RunKey, reason weir.Refusal, now time.Time) {
 	if reason == weir.RefusedTicket {
 		delete(re.advice, key.Task.StepRef())
 	} else {
--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -55,7 +55,7 @@
 	defer cancel()
 	go func() { _ = com.Run(ctx) }()
 	db := &doneBefore{orders: make(chan weir.MachineOrder, 8)}
-	ow := &Owner{
+	ow := &Scheduler{
 		Store: st, Machines: db, Lead: firstTerm{}, Committer: com, Clock: clock.Steady{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
 	}
 	re := &reign{term: 1, since: testNow, machines: newMachineDuty(0), sessions: map[weir.InstanceID]*attended{}}
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -95,7 +95,7 @@
 
 // maintain carries on what is asked of machines: it begins maintenance that may
 // begin, and moves machines.
-func (ow *Owner) maintain(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) maintain(ctx context.Context, re *reign, now time.Time) {
 	if ow.Machines == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 
 // orderMachines sends the orders that are committed and not known to be done,
 // as fast as the platform takes them.
-func (ow *Owner) orderMachines(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) orderMachines(ctx context.Context, re *reign, now time.Time) {
 	if ow.Machines == nil {
 		return
 	}
@@ -140,7 +140,7 @@
 // myTurn reports whether this leader may order a machine about: it did so
 // last, or an earlier leader's last order is long enough ago. An order that
 // is not known to be done may have been repeated until the election.
-func (ow *Owner) myTurn(re *reign, rd store.Reader, machine string, now time.Time) bool {
+func (ow *Scheduler) myTurn(re *reign, rd store.Reader, machine string, now time.Time) bool {
 	if re.machines.mine[machine] {
 		return true
 	}
@@ -154,7 +154,7 @@
 // unanswered lists the orders that are committed and not known to be done:
 // first machines for pools that work, then maintenance, then what goes to stand
 // by.
-func (ow *Owner) unanswered(re *reign, rd store.Reader, now time.Time) []weir.MachineOrder {
+func (ow *Scheduler) unanswered(re *reign, rd store.Reader, now time.Time) []weir.MachineOrder {
 	md := re.machines
 	var orders []weir.MachineOrder
 	rd.EachOrder(func(op store.MachineOperation) {
@@ -182,7 +182,7 @@
 
 // intend commits that a machine is to be ordered about, which ends its present
 // worker; the order follows once the state says so.
-func (ow *Owner) intend(re *reign, op store.MachineOperation, wk store.Worker) {
+func (ow *Scheduler) intend(re *reign, op store.MachineOperation, wk store.Worker) {
 	md := re.machines
 	op.Worker, op.Born = wk.ID, wk.Born
 	md.intent[op.Machine] = true
@@ -207,7 +207,7 @@
 
 // back reports whether a machine's maintenance is over: it runs a worker
 // again, or it stands by, where none runs, and the platform lists it as up.
-func (ow *Owner) back(re *reign, wk store.Worker, machine string) bool {
+func (ow *Scheduler) back(re *reign, wk store.Worker, machine string) bool {
 	md := re.machines
 	if wk.ID == "" {
 		mc := md.listed[machine]
@@ -220,7 +220,7 @@
 	return at != nil && at.worker.Born == wk.Born && at.ss.Usable()
 }
 
-func (ow *Owner) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
+func (ow *Scheduler) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
 	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: re.machines.cordoned(machine)}
 	load := rd.Load(wk.ID)
 	ca.work, ca.lasting = load.Ending, load.Lasting
@@ -228,7 +228,7 @@
 }
 
 // orderMachine sends one order and records its answer.
-func (ow *Owner) orderMachine(ctx context.Context, re *reign, order weir.MachineOrder) {
+func (ow *Scheduler) orderMachine(ctx context.Context, re *reign, order weir.MachineOrder) {
 	defer ow.Wake()
 	callCtx, cancel := context.WithTimeout(ctx, machineTimeout)
 	defer cancel()
@@ -255,7 +255,7 @@
 	ow.machineDone(re, order, op)
 }
 
-func (ow *Owner) machineDone(re *reign, order weir.MachineOrder, op *store.MachineOperation) {
+func (ow *Scheduler) machineDone(re *reign, order weir.MachineOrder, op *store.MachineOperation) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if op == nil || ow.reign != re {
@@ -286,7 +286,7 @@
 // orderedAway returns the changes that end the life for which an operation was
 // meant. The machine may run a later one already, where an earlier order was
 // carried out without an answer; that one goes on.
-func (ow *Owner) orderedAway(re *reign, rd store.Reader, machine string) []store.Change {
+func (ow *Scheduler) orderedAway(re *reign, rd store.Reader, machine string) []store.Change {
 	op, ok := rd.Order(machine)
 	if !ok || op.Worker == "" {
 		return nil
--- a/internal/job/scheduler/maintain_test.go
+++ b/internal/job/scheduler/maintain_test.go
@@ -44,7 +44,7 @@
 
 // owing returns an owner with intents for machines: a hundred go to stand by,
 // ten are due for maintenance and ten go to a pool that works.
-func owing(t *testing.T, perSecond float64) (*Owner, *reign, *slowPlatform) {
+func owing(t *testing.T, perSecond float64) (*Scheduler, *reign, *slowPlatform) {
 	ct := catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: "desk"}, {Name: "off", Standby: true}}}
 	packed, err := ct.Pack()
 	require.NoError(t, err)
@@ -60,7 +60,7 @@
 		changes = append(changes, store.Change{Machine: op})
 	}
 	sp := &slowPlatform{}
-	ow := &Owner{Store: storeWith(t, changes...), Machines: sp, Lead: firstTerm{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: storeWith(t, changes...), Machines: sp, Lead: firstTerm{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{term: 1, since: testNow, machines: newMachineDuty(perSecond)}
 	for ix := range 120 {
 		re.machines.mine[fmt.Sprintf("m%03d", ix)] = true
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -63,9 +63,9 @@
 	Term() uint64
 }
 
-// Owner decides about tasks while its process leads. Set the exported fields
+// Scheduler decides about tasks while its process leads. Set the exported fields
 // before Run.
-type Owner struct {
+type Scheduler struct {
 	Store     *store.Store
 	Committer *Committer
 	Lead      Leadership
@@ -144,10 +144,10 @@
 }
 
 // String is the step's name in logs.
-func (ow *Owner) String() string { return "job owner" }
+func (ow *Scheduler) String() string { return "job owner" }
 
 // Default checks the settings.
-func (ow *Owner) Default() error {
+func (ow *Scheduler) Default() error {
 	ow.wake = make(chan struct{}, 1)
 	if ow.Logger == nil {
 		ow.Logger = log.NewNopLogger()
@@ -159,7 +159,7 @@
 }
 
 // Wake asks for a round of decisions soon; it never blocks.
-func (ow *Owner) Wake() {
+func (ow *Scheduler) Wake() {
 	select {
 	case ow.wake <- struct{}{}:
 	default:
@@ -167,7 +167,7 @@
 }
 
 // Run decides whenever this process leads, until the context ends.
-func (ow *Owner) Run(ctx context.Context) error {
+func (ow *Scheduler) Run(ctx context.Context) error {
 	ticker := time.NewTicker(followerPoll)
 	defer ticker.Stop()
 	for {
@@ -183,7 +183,7 @@
 }
 
 // lead works for one term.
-func (ow *Owner) lead(ctx context.Context, term uint64) {
+func (ow *Scheduler) lead(ctx context.Context, term uint64) {
 	// An own entry that is applied shows that all earlier ones are.
 	if _, err := ow.Committer.Commit(ctx, store.Change{}); err != nil || ow.Lead.Term() != term {
 		return
@@ -223,7 +223,7 @@
 	_ = ow.Logger.Log("level", "info", "msg", "no longer leads jobs", "term", term)
 }
 
-func (ow *Owner) setReign(re *reign) {
+func (ow *Scheduler) setReign(re *reign) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.reign = re
@@ -231,7 +231,7 @@
 
 // Ready reports whether this process leads and holds all that earlier leaders
 // have committed.
-func (ow *Owner) Ready() bool {
+func (ow *Scheduler) Ready() bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	return ow.reign != nil && ow.Lead.Leads()
@@ -239,7 +239,7 @@
 
 // Heard notes that a worker announced itself. It reports false for word that
 // is older than what is known.
-func (ow *Owner) Heard(ann jobapi.Announcement, now time.Time) bool {
+func (ow *Scheduler) Heard(ann jobapi.Announcement, now time.Time) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if ow.reign == nil {
@@ -257,7 +257,7 @@
 }
 
 // WakeJob asks for a round that looks at the workers where a job may run.
-func (ow *Owner) WakeJob(id weir.JobID) {
+func (ow *Scheduler) WakeJob(id weir.JobID) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -283,7 +283,7 @@
 
 // round takes all decisions that can be taken now. With all set it looks also
 // at what changes without news.
-func (ow *Owner) round(ctx context.Context, re *reign, now time.Time, all bool) {
+func (ow *Scheduler) round(ctx context.Context, re *reign, now time.Time, all bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.attend(ctx, re, now)
@@ -309,7 +309,7 @@
 }
 
 // attend starts and ends sessions as workers come and go.
-func (ow *Owner) attend(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) attend(ctx context.Context, re *reign, now time.Time) {
 	var present map[weir.InstanceID]store.Worker
 	ow.Store.Read(func(rd store.Reader) {
 		if rd.WorkerChanges() == re.workersSeen {
@@ -341,7 +341,7 @@
 	}
 }
 
-func (ow *Owner) open(ctx context.Context, re *reign, wk store.Worker, now time.Time) *attended {
+func (ow *Scheduler) open(ctx context.Context, re *reign, wk store.Worker, now time.Time) *attended {
 	ssCtx, cancel := context.WithCancel(ctx)
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
@@ -357,7 +357,7 @@
 	return at
 }
 
-func (ow *Owner) changed(at *attended) {
+func (ow *Scheduler) changed(at *attended) {
 	ow.mu.Lock()
 	at.dirty = true
 	ow.mu.Unlock()
@@ -365,7 +365,7 @@
 }
 
 // reconcile records what became of the runs at one worker.
-func (ow *Owner) reconcile(re *reign, id weir.InstanceID, at *attended, now time.Time) {
+func (ow *Scheduler) reconcile(re *reign, id weir.InstanceID, at *attended, now time.Time) {
 	if at.ss.Lapsed(now) {
 		ow.dropWorker(re, at, now)
 		return
@@ -394,7 +394,7 @@
 const forgetBatch = 64
 
 // forget drops jobs whose state need no longer be told.
-func (ow *Owner) forget() {
+func (ow *Scheduler) forget() {
 	var ids []weir.JobID
 	ow.Store.Read(func(rd store.Reader) { ids = rd.Expired(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
 	if len(ids) > 0 {
--- a/internal/job/scheduler/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestHealthOfWorkers(t *testing.T) {
-	ow := &Owner{Logger: log.NewNopLogger()}
+	ow := &Scheduler{Logger: log.NewNopLogger()}
 	re := &reign{health: map[weir.InstanceID]*health{}, avoid: map[spec.Ref]weir.InstanceID{}}
 	failed := func() {
 		ow.noteEnd(re, "w", store.End{Task: spec.Ref{Job: "a"}, How: store.EndFailed}, testNow)
@@ -103,7 +103,7 @@
 }
 
 func TestLongTaskIsStoppedOnce(t *testing.T) {
-	ow := &Owner{Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{
 		health: map[weir.InstanceID]*health{}, avoid: map[spec.Ref]weir.InstanceID{}, slow: map[spec.Ref]bool{},
 		evicted: map[weir.RunKey]bool{}, sessions: map[weir.InstanceID]*attended{"w1": {}, "w2": {}},
--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -44,7 +44,7 @@
 
 // paceAll keeps serving tasks under their target by slowing the filling tasks
 // beside them.
-func (ow *Owner) paceAll(re *reign) {
+func (ow *Scheduler) paceAll(re *reign) {
 	ow.Store.Read(func(rd store.Reader) {
 		for id, at := range re.sessions {
 			ow.paceWorker(re, rd, id, at)
@@ -52,7 +52,7 @@
 	})
 }
 
-func (ow *Owner) paceWorker(re *reign, rd store.Reader, id weir.InstanceID, at *attended) {
+func (ow *Scheduler) paceWorker(re *reign, rd store.Reader, id weir.InstanceID, at *attended) {
 	if rd.Load(id).Filling == 0 {
 		delete(re.pace, id)
 		return
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -18,7 +18,7 @@
 
 // place commits and orders the starts that the plan asks for. Only one plan is
 // under way at a time, since the next must know of its starts.
-func (ow *Owner) place(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) place(ctx context.Context, re *reign, now time.Time) {
 	if re.planning {
 		return
 	}
@@ -56,7 +56,7 @@
 
 // started orders the runs whose intents are committed. It runs on the
 // committer's goroutine.
-func (ow *Owner) started(re *reign, starts []plan.Placement, answers []store.Answer, err error) {
+func (ow *Scheduler) started(re *reign, starts []plan.Placement, answers []store.Answer, err error) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -92,7 +92,7 @@
 	return out
 }
 
-func (ow *Owner) order(re *reign, rd store.Reader, pl plan.Placement) {
+func (ow *Scheduler) order(re *reign, rd store.Reader, pl plan.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
 	if at == nil || at.worker.Born != pl.Born || js == nil || js.Phase.Over() {
@@ -119,7 +119,7 @@
 }
 
 // demand lists the jobs that may have tasks to place.
-func (ow *Owner) demand(rd store.Reader) []demanded {
+func (ow *Scheduler) demand(rd store.Reader) []demanded {
 	var out []demanded
 	rd.EachActive(func(js *store.JobState) {
 		if js.Phase.Over() || !js.Unplaced() {
@@ -146,7 +146,7 @@
 }
 
 // ready lists the steps with tasks that may start now.
-func (ow *Owner) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Need) []plan.Group {
+func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Need) []plan.Group {
 	var groups []plan.Group
 	wall := ow.Wall.Now()
 	for _, dm := range demand {
@@ -187,7 +187,7 @@
 	return work
 }
 
-func (ow *Owner) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (plan.Group, bool) {
+func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (plan.Group, bool) {
 	ss := &js.Rounds[oc][sp]
 	if ss.Left == 0 || !js.StepReady(oc, sp) {
 		return plan.Group{}, false
@@ -251,7 +251,7 @@
 type workerView = plan.Worker
 
 // usable lists the workers that can take tasks of some jobs now.
-func (ow *Owner) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []plan.Worker {
+func (ow *Scheduler) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []plan.Worker {
 	pools := map[weir.PoolName]bool{}
 	for _, dm := range demand {
 		pools[dm.queue.Pool] = true
--- a/internal/job/scheduler/progress.go
+++ b/internal/job/scheduler/progress.go
@@ -84,7 +84,7 @@
 
 // watch looks at the progress of what runs: runs that stand still or crawl are
 // stopped and go on elsewhere, and their workers are used last for a while.
-func (ow *Owner) watch(re *reign) {
+func (ow *Scheduler) watch(re *reign) {
 	fresh := make(map[weir.RunKey]progress, len(re.watched))
 	ow.Store.Read(func(rd store.Reader) {
 		for id, at := range re.sessions {
@@ -108,7 +108,7 @@
 	re.watched = fresh
 }
 
-func (ow *Owner) judge(re *reign, id weir.InstanceID, key weir.RunKey, pg progress, step spec.Step, arrived time.Time) {
+func (ow *Scheduler) judge(re *reign, id weir.InstanceID, key weir.RunKey, pg progress, step spec.Step, arrived time.Time) {
 	verdict := pg.judge(arrived, step.Estimate)
 	if verdict == speedGood || re.slow[key.Task] {
 		// A task that was slow elsewhere too is long by itself.
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -48,9 +48,9 @@
 
 // idleWorker returns an owner with a session to an idle worker w0 that has
 // reported, and the session's place in the reign.
-func idleWorker(t *testing.T, st *store.Store, running ...weir.RunningTask) (*Owner, *reign, *attended, *idle) {
+func idleWorker(t *testing.T, st *store.Store, running ...weir.RunningTask) (*Scheduler, *reign, *attended, *idle) {
 	wk := &idle{running: running}
-	ow := &Owner{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	at := &attended{worker: store.Worker{ID: "w0", Born: 1}}
 	at.ss = &session.Session{
--- a/internal/job/scheduler/wake_test.go
+++ b/internal/job/scheduler/wake_test.go
@@ -14,7 +14,7 @@
 // TestCancelLooksOnlyWhereTheJobRuns keeps a round of a fleet of hundreds small.
 func TestCancelLooksOnlyWhereTheJobRuns(t *testing.T) {
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 2}}}}, startAt(0, "w1"))
-	ow := &Owner{Store: st, wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: st, wake: make(chan struct{}, 1)}
 	ow.reign = &reign{sessions: map[weir.InstanceID]*attended{"w0": {}, "w1": {}}}
 	ow.WakeJob("a")
 	require.False(t, ow.reign.sessions["w0"].dirty)
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -40,7 +40,7 @@
 }
 
 // advance begins what may begin of one wave.
-func (ow *Owner) advance(re *reign, rd store.Reader, wv *store.Wave, byMachine map[string]store.Worker, now time.Time) {
+func (ow *Scheduler) advance(re *reign, rd store.Reader, wv *store.Wave, byMachine map[string]store.Worker, now time.Time) {
 	md := re.machines
 	away := 0
 	var waiting []candidate
@@ -114,7 +114,7 @@
 
 // begin commits the intent for machines that may go; the order follows once
 // the intent is in the state.
-func (ow *Owner) begin(re *reign, rd store.Reader, wv *store.Wave, waiting []candidate, free int, now time.Time) {
+func (ow *Scheduler) begin(re *reign, rd store.Reader, wv *store.Wave, waiting []candidate, free int, now time.Time) {
 	md := re.machines
 	for _, ca := range waiting {
 		if free <= 0 {
@@ -148,7 +148,7 @@
 
 // save stops what can resume elsewhere from where it is. It reports whether
 // such runs are left.
-func (ow *Owner) save(re *reign, rd store.Reader, id weir.InstanceID) bool {
+func (ow *Scheduler) save(re *reign, rd store.Reader, id weir.InstanceID) bool {
 	left := false
 	for key := range rd.Runs(id) {
 		step := rd.Job(key.Task.Job).Spec.Steps[key.Task.Step]
@@ -162,7 +162,7 @@
 
 // spread stops one of several lasting tasks of a step at one worker, so that
 // it goes on elsewhere and the worker can do without the others.
-func (ow *Owner) spread(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) {
+func (ow *Scheduler) spread(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) {
 	var here []weir.RunKey
 	for key := range rd.Runs(id) {
 		if key.Task.StepRef() == step {
@@ -175,7 +175,7 @@
 	ow.evict(re, id, here[0])
 }
 
-func (ow *Owner) evict(re *reign, id weir.InstanceID, key weir.RunKey) {
+func (ow *Scheduler) evict(re *reign, id weir.InstanceID, key weir.RunKey) {
 	if re.evicted[key] {
 		return
 	}
@@ -189,7 +189,7 @@
 // allows if all that runs at a worker ended, and how many are away already; it
 // is nil where there is none. A task counts as away unless its worker lists it
 // at full work.
-func (ow *Owner) blocked(re *reign, rd store.Reader, id weir.InstanceID) (step *weir.TaskRef, away int) {
+func (ow *Scheduler) blocked(re *reign, rd store.Reader, id weir.InstanceID) (step *weir.TaskRef, away int) {
 	steps := map[weir.TaskRef]int{}
 	for key := range rd.Runs(id) {
 		js := rd.Job(key.Task.Job)
@@ -208,7 +208,7 @@
 
 // away counts the tasks of a step that are neither at a worker nor at work
 // elsewhere.
-func (ow *Owner) away(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) int {
+func (ow *Scheduler) away(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) int {
 	count := 0
 	tasks := rd.Job(step.Job).Rounds[step.Occurrence][step.Step].Tasks
 	for ix := range tasks {
@@ -224,7 +224,7 @@
 
 // atWork reports whether a lasting task works at a worker that no planned work
 // is about to end.
-func (ow *Owner) atWork(re *reign, rd store.Reader, key weir.RunKey, id weir.InstanceID) bool {
+func (ow *Scheduler) atWork(re *reign, rd store.Reader, key weir.RunKey, id weir.InstanceID) bool {
 	at := re.sessions[id]
 	if at == nil || re.machines.intent[at.worker.Machine] {
 		return false
--- a/internal/job/service/service.go
+++ b/internal/job/service/service.go
@@ -49,7 +49,7 @@
 	Self      string
 	Store     *store.Store
 	Committer *scheduler.Committer
-	Owner     *scheduler.Owner
+	Owner     *scheduler.Scheduler
 	Lead      Lead
 	Links     *links.Links
 	Clock     weir.Clock
--- a/internal/job/service/service_test.go
+++ b/internal/job/service/service_test.go
@@ -87,7 +87,7 @@
 		Heartbeat: 20 * time.Millisecond, Election: 150 * time.Millisecond,
 	}
 	com := &scheduler.Committer{Log: nod, Wall: wall}
-	own := &scheduler.Owner{
+	own := &scheduler.Scheduler{
 		Store: str, Committer: com, Lead: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -173,7 +173,7 @@
 		Clock: sg.clock, Task: sg.task, Announce: func(wk store.Worker) { sg.announce(ctx, wk) }, Standby: standby,
 		MoveTime: sg.Load.MoveTime, MaintenanceTime: 2 * time.Second,
 	}
-	own := &scheduler.Owner{
+	own := &scheduler.Scheduler{
 		Store: sg.store, Committer: com, Lead: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 		Lease: 3 * time.Second, Retention: time.Minute, OrderPause: 3500 * time.Millisecond,
 	}
