--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -16,7 +16,7 @@
 	"greengageweir/internal/entry/front"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/entry/report"
 	"greengageweir/internal/entry/serve"
 	"greengageweir/internal/link/peer"
@@ -85,7 +85,7 @@
 // entryProcess holds the parts of an entry instance.
 type entryProcess struct {
 	clk      clock.System
-	table    *place.Table
+	table    *placement.Table
 	store    *ledger.Store
 	mesh     *mesh.Mesh
 	follower *follow.Follower
@@ -97,7 +97,7 @@
 	clk := clock.System{}
 	zone := weir.Zone(ec.Zone)
 	self := peer.Identity{ID: ec.ID, Role: "entry", Zone: ec.Zone}
-	pr := &entryProcess{clk: clk, table: place.New(clk, zone)}
+	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
 	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.Free}
 	pr.follower = &follow.Follower{
@@ -181,12 +181,12 @@
 
 // entryState is an entry instance's part of the state dump.
 type entryState struct {
-	View      uint64                `json:"view"`
-	Number    uint64                `json:"number"`
-	InFlight  int64                 `json:"inFlight"`
-	Ledger    ledger.Stats          `json:"ledger"`
-	Endpoints []place.EndpointState `json:"endpoints"`
-	Demand    any                   `json:"demand"`
+	View      uint64                    `json:"view"`
+	Number    uint64                    `json:"number"`
+	InFlight  int64                     `json:"inFlight"`
+	Ledger    ledger.Stats              `json:"ledger"`
+	Endpoints []placement.EndpointState `json:"endpoints"`
+	Demand    any                       `json:"demand"`
 }
 
 func (pr *entryProcess) dump() any {
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -19,7 +19,7 @@
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/peer"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -42,7 +42,7 @@
 	Self  string
 	Zone  weir.Zone
 	Sites []ledger.Site
-	Table *place.Table
+	Table *placement.Table
 	Mesh  Mesh
 	Store *ledger.Store
 	Clock weir.Clock
@@ -342,7 +342,7 @@
 func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Answer, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
-		if !errkind.Is(err, place.KindNoSlot) {
+		if !errkind.Is(err, placement.KindNoSlot) {
 			return weir.AnswerNotRun(err.Error()), false
 		}
 		if id, ok := dp.Mesh.Pick(req.Service); ok {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
@@ -72,7 +72,7 @@
 	for _, id := range ids[:len(addrs)] {
 		vw.Members[id] = view.Member{Instance: id, Pool: "desk", Phase: view.Serving}
 	}
-	tb := place.New(clk, "a")
+	tb := placement.New(clk, "a")
 	tb.SetView(vw)
 	for ix, addr := range addrs {
 		require.True(t, tb.Announce(endpoint.Announcement{Instance: ids[ix], Address: addr, State: endpoint.Serving}).Granted)
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -7,7 +7,7 @@
 
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/httpconn"
 
 	"github.com/google/uuid"
@@ -17,7 +17,7 @@
 
 // send runs a request on a slot and gives the slot back. The second result
 // says whether another slot may be tried: the request certainly did not run.
-func (dp *Dispatcher) send(ctx context.Context, slot *place.Slot, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) send(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Answer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+patience(req))
 	defer cancel()
 	begin := dp.Clock.Now()
@@ -27,7 +27,7 @@
 		return brokenAnswer(slot, err)
 	}
 	if reason := resp.Field(endpoint.HeaderRefused); reason != "" {
-		slot.Release(place.Abandoned)
+		slot.Release(placement.Abandoned)
 		return weir.AnswerNotRun("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
@@ -36,7 +36,7 @@
 	}, false
 }
 
-func (dp *Dispatcher) endpointRequest(slot *place.Slot, req weir.Request) httpconn.Request {
+func (dp *Dispatcher) endpointRequest(slot *placement.Slot, req weir.Request) httpconn.Request {
 	out := httpconn.Request{
 		Method: req.Method, Host: string(slot.Instance), Path: req.Path, Body: req.Body, Repeatable: req.Repeatable,
 		Fields: []httpconn.Field{
@@ -58,19 +58,19 @@
 
 // brokenAnswer tells what an error on the way means. A deadline counts
 // against the endpoint, since a silent one shows itself in no other way.
-func brokenAnswer(slot *place.Slot, err error) (weir.Answer, bool) {
-	slot.Release(place.Failed)
+func brokenAnswer(slot *placement.Slot, err error) (weir.Answer, bool) {
+	slot.Release(placement.Failed)
 	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.AnswerNotRun("endpoint not reached"), true
 	}
 	return weir.AnswerUnknown(err.Error()), false
 }
 
-func resultOf(status int) place.Result {
+func resultOf(status int) placement.Result {
 	if status >= http.StatusInternalServerError {
-		return place.Failed
+		return placement.Failed
 	}
-	return place.Succeeded
+	return placement.Succeeded
 }
 
 // retryBudget allows retries as a share of the requests, so that retries
--- a/internal/entry/place/spare.go
+++ b/internal/entry/placement/spare.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"slices"
--- a/internal/entry/place/table.go
+++ b/internal/entry/placement/table.go
@@ -10,7 +10,7 @@
 //	answer := tb.Announce(now, announcement)
 //	slot, err := tb.Acquire(ctx, &req)
 //	slot.Release(place.Succeeded)
-package place
+package placement
 
 import (
 	"context"
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -13,7 +13,7 @@
 
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 
 	"github.com/go-kit/log"
@@ -39,7 +39,7 @@
 	Self     string
 	Zone     weir.Zone
 	Started  time.Time
-	Table    *place.Table
+	Table    *placement.Table
 	Follower Caller
 	Clock    weir.Clock
 	Logger   log.Logger
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -20,7 +20,7 @@
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/peer"
 
 	"github.com/labstack/echo/v4"
@@ -41,7 +41,7 @@
 // Service answers the other entry instances. Set the exported fields first.
 type Service struct {
 	Dispatcher *dispatch.Dispatcher
-	Table      *place.Table
+	Table      *placement.Table
 	Store      *ledger.Store
 	Mesh       *mesh.Mesh
 	Clock      weir.Clock
@@ -113,7 +113,7 @@
 // Run.
 type Announcements struct {
 	Addr  string
-	Table *place.Table
+	Table *placement.Table
 
 	listener net.Listener
 	server   *http.Server
