--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logs"
 	"greengageweir/internal/duty/settings"
@@ -41,7 +41,7 @@
 	logger    log.Logger
 	level     *logs.Level
 	token     string
-	operators *access.Operators
+	operators *auth.Operators
 }
 
 func (cf *commonFlags) open(role string) (kit, error) {
@@ -50,11 +50,11 @@
 		return kit{}, err
 	}
 	invariant.SetLogger(lg)
-	token, err := access.LoadToken(cf.PeerTokenFile)
+	token, err := auth.LoadToken(cf.PeerTokenFile)
 	if err != nil {
 		return kit{}, err
 	}
-	opers, err := access.Load(cf.OperatorTokens)
+	opers, err := auth.Load(cf.OperatorTokens)
 	return kit{logger: lg, level: lvl, token: token, operators: opers}, err
 }
 
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -7,7 +7,7 @@
 
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/invariant"
@@ -72,7 +72,7 @@
 		return err
 	}
 	invariant.SetLogger(lg)
-	token, err := access.LoadToken(jc.PeerTokenFile)
+	token, err := auth.LoadToken(jc.PeerTokenFile)
 	if err != nil {
 		return err
 	}
--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 
 	"github.com/google/uuid"
 )
@@ -24,7 +24,7 @@
 }
 
 func (rm *remote) client() (*operator.Client, context.Context, context.CancelFunc, error) {
-	token, err := access.LoadToken(rm.TokenFile)
+	token, err := auth.LoadToken(rm.TokenFile)
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -17,7 +17,7 @@
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
 	"greengageweir/internal/control/serve"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/machine"
 
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithTimeout(ech.Request().Context(), requestTimeout)
 	defer cancel()
 	cmd.At = ap.Service.Clock.Now()
-	cmd.Operator = access.Operator(ech)
+	cmd.Operator = auth.Operator(ech)
 	ans, err := ap.Service.Propose(ctx, cmd)
 	if err != nil {
 		return unavailable(err)
--- a/internal/duty/access/access.go
+++ b/internal/duty/auth/access.go
@@ -6,7 +6,7 @@
 //	ops, err := access.Load("operators.tokens")
 //	ech.Use(ops.Middleware)
 //	name := access.Operator(ctx)
-package access
+package auth
 
 import (
 	"crypto/subtle"
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -16,7 +16,7 @@
 	"runtime"
 	"time"
 
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logs"
@@ -48,7 +48,7 @@
 // before Run.
 type Server struct {
 	Addr      string
-	Operators *access.Operators
+	Operators *auth.Operators
 	Level     *logs.Level
 	Version   string
 	// Dump returns the process's state; it must hold no secrets.
