--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -232,7 +232,7 @@
 	defer ow.Wake()
 	callCtx, cancel := context.WithTimeout(ctx, machineTimeout)
 	defer cancel()
-	if !ow.Lead.Leads() {
+	if !ow.Leadership.Leads() {
 		ow.machineDone(re, order, nil)
 		return
 	}
--- a/internal/job/scheduler/maintain_test.go
+++ b/internal/job/scheduler/maintain_test.go
@@ -60,7 +60,7 @@
 		changes = append(changes, store.Change{Machine: op})
 	}
 	sp := &slowPlatform{}
-	ow := &Scheduler{Store: storeWith(t, changes...), Machines: sp, Lead: firstTerm{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: storeWith(t, changes...), Machines: sp, Leadership: firstTerm{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{term: 1, since: testNow, machines: newMachineDuty(perSecond)}
 	for ix := range 120 {
 		re.machines.mine[fmt.Sprintf("m%03d", ix)] = true
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -66,10 +66,10 @@
 // Scheduler decides about tasks while its process leads. Set the exported fields
 // before Run.
 type Scheduler struct {
-	Store     *store.Store
-	Committer *Committer
-	Lead      Leadership
-	Workers   weir.TaskWorkers
+	Store      *store.Store
+	Committer  *Committer
+	Leadership Leadership
+	Workers    weir.TaskWorkers
 	// Machines may be nil where no platform can be asked for maintenance.
 	Machines weir.MachinePlatform
 	// MachineRate is how many orders a second that platform takes; 0 is any.
@@ -175,7 +175,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if term := ow.Lead.Term(); term != 0 {
+			if term := ow.Leadership.Term(); term != 0 {
 				ow.lead(ctx, term)
 			}
 		}
@@ -185,7 +185,7 @@
 // lead works for one term.
 func (ow *Scheduler) lead(ctx context.Context, term uint64) {
 	// An own entry that is applied shows that all earlier ones are.
-	if _, err := ow.Committer.Commit(ctx, store.Change{}); err != nil || ow.Lead.Term() != term {
+	if _, err := ow.Committer.Commit(ctx, store.Change{}); err != nil || ow.Leadership.Term() != term {
 		return
 	}
 	leadCtx, cancel := context.WithCancel(ctx)
@@ -206,7 +206,7 @@
 	ticker := time.NewTicker(roundEvery)
 	defer ticker.Stop()
 	all := true
-	for ctx.Err() == nil && ow.Lead.Term() == term {
+	for ctx.Err() == nil && ow.Leadership.Term() == term {
 		begin := ow.Clock.Now()
 		ow.round(leadCtx, re, begin, all)
 		took := ow.Clock.Now().Sub(begin)
@@ -234,7 +234,7 @@
 func (ow *Scheduler) Ready() bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.reign != nil && ow.Lead.Leads()
+	return ow.reign != nil && ow.Leadership.Leads()
 }
 
 // Heard notes that a worker announced itself. It reports false for word that
@@ -346,7 +346,7 @@
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
 		Life:  weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
-		Token: re.term, Lease: ow.Lease, Workers: ow.Workers, Leads: ow.Lead, Clock: ow.Clock, Logger: ow.Logger,
+		Token: re.term, Lease: ow.Lease, Workers: ow.Workers, Leads: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
 		LapsesBy: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
 	at.ss.Changed = func() { ow.changed(at) }
--- a/internal/job/service/service_test.go
+++ b/internal/job/service/service_test.go
@@ -88,7 +88,7 @@
 	}
 	com := &scheduler.Committer{Log: nod, Wall: wall}
 	own := &scheduler.Scheduler{
-		Store: str, Committer: com, Lead: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
+		Store: str, Committer: com, Leadership: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
 	str.Applied = own.Wake
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -174,7 +174,7 @@
 		MoveTime: sg.Load.MoveTime, MaintenanceTime: 2 * time.Second,
 	}
 	own := &scheduler.Scheduler{
-		Store: sg.store, Committer: com, Lead: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+		Store: sg.store, Committer: com, Leadership: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 		Lease: 3 * time.Second, Retention: time.Minute, OrderPause: 3500 * time.Millisecond,
 	}
 	if sg.Policy == PolicyOwner {
