--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -11,9 +11,9 @@
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/entry/callerapi"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/follow"
-	"greengageweir/internal/entry/front"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
 	"greengageweir/internal/entry/placement"
@@ -89,7 +89,7 @@
 	store    *ledger.Store
 	mesh     *mesh.Mesh
 	follower *follow.Follower
-	front    *front.Front
+	front    *callerapi.Front
 	steps    []weir.Step
 }
 
@@ -106,7 +106,7 @@
 	dp := &dispatch.Dispatcher{
 		Self: ec.ID, Zone: zone, Sites: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
 	}
-	pr.front = &front.Front{
+	pr.front = &callerapi.Front{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
--- a/internal/entry/front/front.go
+++ b/internal/entry/callerapi/front.go
@@ -4,7 +4,7 @@
 //
 //	fr := &front.Front{Addr: addr, Zone: zone, Dispatcher: dp, Table: tb, Clock: clk}
 //	go fr.Run(ctx)
-package front
+package callerapi
 
 import (
 	"context"
