--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -8,8 +8,8 @@
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
-	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
@@ -61,7 +61,7 @@
 
 	node    *node.Node
 	roster  *roster.Roster
-	service *service.Service
+	service *handler.Service
 	steps   []weir.Step
 }
 
@@ -85,7 +85,7 @@
 		Lease: workerLease, Retention: ho.Retention, Leading: ho.Leading, HolderName: ho.Name, OrderPause: ho.Turn,
 	}
 	str.Applied = own.Wake
-	ho.service = &service.Service{
+	ho.service = &handler.Service{
 		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ho.steps = []weir.Step{
--- a/internal/job/service/catalog.go
+++ b/internal/job/handler/catalog.go
@@ -1,4 +1,4 @@
-package service
+package handler
 
 import (
 	"context"
--- a/internal/job/service/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -1,4 +1,4 @@
-package service_test
+package handler_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
-	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	st.Apply(1, data)
 	ask := func(leader following, ann store.Worker) jobapi.Reply {
-		sv := &service.Service{
+		sv := &handler.Service{
 			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Lead: leader, Clock: clock.Steady{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
 		}
--- a/internal/job/service/service.go
+++ b/internal/job/handler/service.go
@@ -5,7 +5,7 @@
 //
 //	sv := &service.Service{Store: st, Committer: cm, Owner: ow, ...}
 //	rep := sv.Handle(ctx, jobapi.Call{Kind: jobapi.State, Host: host, Path: path})
-package service
+package handler
 
 import (
 	"context"
--- a/internal/job/service/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -1,4 +1,4 @@
-package service_test
+package handler_test
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
+	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
-	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
@@ -92,7 +92,7 @@
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
 	str.Applied = own.Wake
-	svc := &service.Service{
+	svc := &handler.Service{
 		Self: self, Store: str, Committer: com, Owner: own, Lead: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -19,8 +19,8 @@
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
+	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
-	"greengageweir/internal/job/service"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/standin/fleet"
@@ -116,7 +116,7 @@
 	Player
 	clock   clock.Wall
 	store   *store.Store
-	service *service.Service
+	service *handler.Service
 	fleet   *fleet.Fleet
 	jobs    []planned
 	// lengths and needs are complete before anything runs.
@@ -182,7 +182,7 @@
 	}
 	sg.store.Clock = sg.clock
 	sg.store.Applied = own.Wake
-	sg.service = &service.Service{
+	sg.service = &handler.Service{
 		Store: sg.store, Committer: com, Owner: own, Lead: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
 	return []weir.Step{com, own}
