--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -10,7 +10,7 @@
 
 	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/settings"
 
 	"github.com/go-kit/log"
@@ -39,13 +39,13 @@
 // kit is what every daemon is built from.
 type kit struct {
 	logger    log.Logger
-	level     *logs.Level
+	level     *logging.Level
 	token     string
 	operators *auth.Operators
 }
 
 func (cf *commonFlags) open(role string) (kit, error) {
-	lg, lvl, err := logs.New(os.Stderr, cf.LogLevel, role, cf.ID)
+	lg, lvl, err := logging.New(os.Stderr, cf.LogLevel, role, cf.ID)
 	if err != nil {
 		return kit{}, err
 	}
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -11,7 +11,7 @@
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
@@ -67,7 +67,7 @@
 	if err := jc.check(); err != nil {
 		return err
 	}
-	lg, _, err := logs.New(logs.NewAsync(os.Stdout), jc.LogLevel, "jobs", jc.PeerAddr)
+	lg, _, err := logging.New(logging.NewAsync(os.Stdout), jc.LogLevel, "jobs", jc.PeerAddr)
 	if err != nil {
 		return err
 	}
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -11,7 +11,7 @@
 
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/member/roster"
@@ -82,7 +82,7 @@
 	if err != nil {
 		return st, nil, err
 	}
-	lg, _, err := logs.New(logs.NewAsync(os.Stdout), pf.LogLevel, role, st.Name)
+	lg, _, err := logging.New(logging.NewAsync(os.Stdout), pf.LogLevel, role, st.Name)
 	if err != nil {
 		return st, nil, err
 	}
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -15,7 +15,7 @@
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/spec"
@@ -41,7 +41,7 @@
 
 // Execute implements flags.Commander.
 func (tc *taskWorkersCommand) Execute([]string) error {
-	lg, _, err := logs.New(os.Stderr, "info", "standin", tc.Pool)
+	lg, _, err := logging.New(os.Stderr, "info", "standin", tc.Pool)
 	if err != nil {
 		return err
 	}
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -9,7 +9,7 @@
 
 	"greengageweir/internal/config/file"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/standin/worker"
 
 	weir "greengageweir"
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	lg, _, err := logs.New(os.Stderr, "info", "standin", wc.Site)
+	lg, _, err := logging.New(os.Stderr, "info", "standin", wc.Site)
 	if err != nil {
 		return err
 	}
--- a/internal/duty/logs/async.go
+++ b/internal/duty/logging/async.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"io"
--- a/internal/duty/logs/logs.go
+++ b/internal/duty/logging/logs.go
@@ -5,7 +5,7 @@
 //
 //	lg, lvl := logs.New(os.Stderr, "info", "entry", "shyambazar-1")
 //	lvl.Set("debug")
-package logs
+package logging
 
 import (
 	"io"
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -19,7 +19,7 @@
 	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
@@ -49,7 +49,7 @@
 type Server struct {
 	Addr      string
 	Operators *auth.Operators
-	Level     *logs.Level
+	Level     *logging.Level
 	Version   string
 	// Dump returns the process's state; it must hold no secrets.
 	Dump func() any
