--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -85,8 +85,8 @@
 	Lease time.Duration
 	// Retention is how long the state of an ended job can be asked for.
 	Retention time.Duration
-	// Leading is told when this process begins and ceases to lead; it may be nil.
-	Leading func(leads bool)
+	// OnLeadershipChange is told when this process begins and ceases to lead; it may be nil.
+	OnLeadershipChange func(leads bool)
 	// HolderName names this process to the machines' platform.
 	HolderName string
 	// OrderPause is how long after an election no machine is ordered about.
@@ -198,9 +198,9 @@
 	}
 	ow.setReign(re)
 	defer ow.setReign(nil)
-	if ow.Leading != nil {
-		ow.Leading(true)
-		defer ow.Leading(false)
+	if ow.OnLeadershipChange != nil {
+		ow.OnLeadershipChange(true)
+		defer ow.OnLeadershipChange(false)
 	}
 	_ = ow.Logger.Log("level", "info", "msg", "leads jobs", "term", term)
 	ticker := time.NewTicker(roundEvery)
