--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -13,12 +13,12 @@
 	"greengageweir/internal/duty/settings"
 	"greengageweir/internal/entry/callerapi"
 	"greengageweir/internal/entry/dispatch"
-	"greengageweir/internal/entry/follow"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/entry/report"
 	"greengageweir/internal/entry/serve"
+	"greengageweir/internal/entry/viewsync"
 	"greengageweir/internal/link/peer"
 
 	"github.com/pkg/errors"
@@ -88,7 +88,7 @@
 	table    *placement.Table
 	store    *ledger.Store
 	mesh     *mesh.Mesh
-	follower *follow.Follower
+	follower *viewsync.Follower
 	front    *callerapi.Front
 	steps    []weir.Step
 }
@@ -100,7 +100,7 @@
 	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
 	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.Free}
-	pr.follower = &follow.Follower{
+	pr.follower = &viewsync.Follower{
 		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
 	}
 	dp := &dispatch.Dispatcher{
--- a/internal/entry/follow/follow.go
+++ b/internal/entry/viewsync/follow.go
@@ -9,7 +9,7 @@
 //	fl := &follow.Follower{Controls: addrs, Token: token, Self: self, OnView: tb.SetView}
 //	go fl.Run(ctx)
 //	err := fl.Call(ctx, peerapi.EntryReport, report, &answer)
-package follow
+package viewsync
 
 import (
 	"context"
--- a/internal/entry/follow/spread.go
+++ b/internal/entry/viewsync/spread.go
@@ -1,4 +1,4 @@
-package follow
+package viewsync
 
 import "github.com/cespare/xxhash/v2"
 
