--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -61,7 +61,7 @@
 
 	node    *node.Node
 	roster  *roster.Roster
-	service *handler.Service
+	service *handler.Handler
 	steps   []weir.Step
 }
 
@@ -85,7 +85,7 @@
 		Lease: workerLease, Retention: ho.Retention, OnLeadershipChange: ho.Leading, HolderName: ho.Name, OrderPause: ho.Turn,
 	}
 	str.Applied = own.Wake
-	ho.service = &handler.Service{
+	ho.service = &handler.Handler{
 		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ho.steps = []weir.Step{
--- a/internal/job/handler/catalog.go
+++ b/internal/job/handler/catalog.go
@@ -10,7 +10,7 @@
 
 // held is the version of the configuration that this process holds. It is
 // committed.
-func (sv *Service) held() int64 {
+func (sv *Handler) held() int64 {
 	version := int64(0)
 	sv.Store.Read(func(rd store.Reader) { version = rd.Packed().Version })
 	return version
@@ -19,7 +19,7 @@
 // takeCatalog checks and packs a configuration before it is passed on. A
 // version that is not newer than a committed one changes nothing, whoever
 // leads, and needs no leader.
-func (sv *Service) takeCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) takeCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if err := call.Catalog.Check(); err != nil {
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: err.Error()}
 	}
@@ -37,7 +37,7 @@
 // putCatalog acknowledges a version that is not newer without taking it, as a
 // change that was accepted may be sent again at any time. The process where it
 // came in has checked it.
-func (sv *Service) putCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) putCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ans, failed := sv.commit(ctx, store.Change{Catalog: call.Packed})
 	if failed != nil {
 		return *failed
@@ -52,7 +52,7 @@
 
 // readCatalog asks the leader for the newest configuration. Where this process
 // holds it already the leader only says so.
-func (sv *Service) readCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) readCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	call.Number = sv.held()
 	rep := sv.dispatch(ctx, call)
 	switch {
@@ -73,7 +73,7 @@
 
 // getCatalog answers with the newest configuration, packed, or only with its
 // version where the asking process holds that.
-func (sv *Service) getCatalog(call jobapi.Call) jobapi.Reply {
+func (sv *Handler) getCatalog(call jobapi.Call) jobapi.Reply {
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		pk := rd.Packed()
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	st.Apply(1, data)
 	ask := func(leader following, ann store.Worker) jobapi.Reply {
-		sv := &handler.Service{
+		sv := &handler.Handler{
 			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Lead: leader, Clock: clock.Steady{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
 		}
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -44,8 +44,8 @@
 	LeaderID() string
 }
 
-// Service answers calls. Set the exported fields before use.
-type Service struct {
+// Handler answers calls. Set the exported fields before use.
+type Handler struct {
 	Self      string
 	Store     *store.Store
 	Committer *scheduler.Committer
@@ -58,7 +58,7 @@
 }
 
 // Handle implements jobapi.Handler.
-func (sv *Service) Handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) Handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	begin := sv.Clock.Now()
 	rep := sv.handle(ctx, call)
 	took := sv.Clock.Now().Sub(begin)
@@ -77,7 +77,7 @@
 }
 
 // handle does what a call needs where it comes in; the rest is the leader's.
-func (sv *Service) handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if call.Hops == 0 {
 		switch call.Kind {
 		case jobapi.Announce:
@@ -94,7 +94,7 @@
 
 // takeAnnouncement spares the leader what a follower knows to be committed, and
 // keeps the worker's next announcements here.
-func (sv *Service) takeAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) takeAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if sv.follows() && sv.known(*call.Worker) {
 		return jobapi.Reply{Outcome: jobapi.OK, AnnounceTo: sv.Self}
 	}
@@ -106,13 +106,13 @@
 }
 
 // follows reports whether this process follows a leader that it hears.
-func (sv *Service) follows() bool {
+func (sv *Handler) follows() bool {
 	leader := sv.Lead.LeaderID()
 	return leader != "" && leader != sv.Self
 }
 
 // known reports whether a worker's word about itself is nothing new.
-func (sv *Service) known(ann jobapi.Announcement) bool {
+func (sv *Handler) known(ann jobapi.Announcement) bool {
 	known := false
 	sv.Store.Read(func(rd store.Reader) {
 		wk, ok := rd.Worker(ann.ID)
@@ -122,7 +122,7 @@
 }
 
 // dispatch answers a call as the leader, or passes it on to the one that leads.
-func (sv *Service) dispatch(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) dispatch(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	until := sv.Clock.Now().Add(leaderWait)
 	for {
 		if sv.Owner.Ready() {
@@ -152,7 +152,7 @@
 
 // forward passes a call on. It reports false where the call certainly had no
 // effect and may be tried again.
-func (sv *Service) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
+func (sv *Handler) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
 	call.Hops++
 	var rep jobapi.Reply
 	err := sv.Links.Call(ctx, leader, jobapi.Method, call, &rep)
@@ -168,7 +168,7 @@
 }
 
 // answer answers a call as the leader.
-func (sv *Service) answer(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) answer(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	switch call.Kind {
 	case jobapi.Submit:
 		return sv.submit(ctx, call)
@@ -193,7 +193,7 @@
 }
 
 // commit makes a change and returns what to reply where that fails.
-func (sv *Service) commit(ctx context.Context, ch store.Change) (store.Answer, *jobapi.Reply) {
+func (sv *Handler) commit(ctx context.Context, ch store.Change) (store.Answer, *jobapi.Reply) {
 	ans, err := sv.Committer.Commit(ctx, ch)
 	if err != nil {
 		rep := failure(err)
@@ -214,7 +214,7 @@
 // noCatalog is the answer before the first configuration.
 var noCatalog = jobapi.Reply{Outcome: jobapi.Unavailable, Reason: "no configuration yet", RetryAfter: retryUnavailable}
 
-func (sv *Service) submit(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) submit(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	var rep *jobapi.Reply
 	jb := *call.Job
 	sv.Store.Read(func(rd store.Reader) {
@@ -266,7 +266,7 @@
 }
 
 // state tells a job's phase or, without a job's id, how many jobs wait.
-func (sv *Service) state(call jobapi.Call) jobapi.Reply {
+func (sv *Handler) state(call jobapi.Call) jobapi.Reply {
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
@@ -284,7 +284,7 @@
 	return rep
 }
 
-func (sv *Service) cancel(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) cancel(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	var id spec.ID
 	var rep *jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
@@ -310,7 +310,7 @@
 }
 
 // announce takes a worker's word about itself. Only what is new is committed.
-func (sv *Service) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ann := call.Worker
 	if !sv.Owner.Heard(*ann, sv.Clock.Now()) {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "out of date"}
@@ -331,7 +331,7 @@
 }
 
 // depart ends a worker's life on its own word.
-func (sv *Service) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	known, err := sv.Owner.Departed(ctx, call.Worker.ID)
 	if err != nil {
 		return failure(err)
@@ -341,7 +341,7 @@
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
-func (sv *Service) startWave(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) startWave(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if call.Wave.Number == 0 || call.Wave.AtOnce < 1 {
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: "a wave has a number and at least one machine at a time"}
 	}
@@ -354,7 +354,7 @@
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
-func (sv *Service) getWave(call jobapi.Call) jobapi.Reply {
+func (sv *Handler) getWave(call jobapi.Call) jobapi.Reply {
 	rep := jobapi.Reply{Outcome: jobapi.NoJob}
 	sv.Store.Read(func(rd store.Reader) {
 		if wv := rd.Waves()[call.Number]; wv != nil {
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -92,7 +92,7 @@
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
 	str.Applied = own.Wake
-	svc := &handler.Service{
+	svc := &handler.Handler{
 		Self: self, Store: str, Committer: com, Owner: own, Lead: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -116,7 +116,7 @@
 	Player
 	clock   clock.Wall
 	store   *store.Store
-	service *handler.Service
+	service *handler.Handler
 	fleet   *fleet.Fleet
 	jobs    []planned
 	// lengths and needs are complete before anything runs.
@@ -182,7 +182,7 @@
 	}
 	sg.store.Clock = sg.clock
 	sg.store.Applied = own.Wake
-	sg.service = &handler.Service{
+	sg.service = &handler.Handler{
 		Store: sg.store, Committer: com, Owner: own, Lead: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
 	return []weir.Step{com, own}
