--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -312,7 +312,7 @@
 // announce takes a worker's word about itself. Only what is new is committed.
 func (sv *Handler) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ann := call.Worker
-	if !sv.Owner.Heard(*ann, sv.Clock.Now()) {
+	if !sv.Owner.RecordAnnouncement(*ann, sv.Clock.Now()) {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "out of date"}
 	}
 	if sv.known(*ann) {
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -237,9 +237,9 @@
 	return ow.reign != nil && ow.Leadership.Leads()
 }
 
-// Heard notes that a worker announced itself. It reports false for word that
+// RecordAnnouncement notes that a worker announced itself. It reports false for word that
 // is older than what is known.
-func (ow *Scheduler) Heard(ann jobapi.Announcement, now time.Time) bool {
+func (ow *Scheduler) RecordAnnouncement(ann jobapi.Announcement, now time.Time) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if ow.reign == nil {
