--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -89,7 +89,7 @@
 	store    *ledger.Store
 	mesh     *mesh.Mesh
 	follower *viewsync.Follower
-	front    *callerapi.Front
+	front    *callerapi.Server
 	steps    []weir.Step
 }
 
@@ -106,7 +106,7 @@
 	dp := &dispatch.Dispatcher{
 		Self: ec.ID, Zone: zone, Sites: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
 	}
-	pr.front = &callerapi.Front{
+	pr.front = &callerapi.Server{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
--- a/internal/entry/callerapi/front.go
+++ b/internal/entry/callerapi/front.go
@@ -52,8 +52,8 @@
 	Service(name weir.ServiceName) (model.Service, bool)
 }
 
-// Front serves callers. Set the exported fields before Run.
-type Front struct {
+// Server serves callers. Set the exported fields before Run.
+type Server struct {
 	Addr       string
 	Zone       weir.Zone
 	Dispatcher weir.Dispatcher
@@ -73,10 +73,10 @@
 }
 
 // String is the step's name in logs.
-func (fr *Front) String() string { return "callers' server" }
+func (fr *Server) String() string { return "callers' server" }
 
 // Default opens the listener.
-func (fr *Front) Default() error {
+func (fr *Server) Default() error {
 	lis, err := net.Listen("tcp", fr.Addr)
 	if err != nil {
 		return &Error{Op: "callers' server", Kind: KindListen, Err: err}
@@ -94,7 +94,7 @@
 
 // Run serves until the context ends, then tells the balancer, waits, and lets
 // requests in flight finish.
-func (fr *Front) Run(ctx context.Context) error {
+func (fr *Server) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
@@ -111,19 +111,19 @@
 }
 
 // InFlight returns how many callers wait for an answer.
-func (fr *Front) InFlight() int64 { return fr.inFlight.Load() }
+func (fr *Server) InFlight() int64 { return fr.inFlight.Load() }
 
 // Stopping reports whether a graceful stop is under way.
-func (fr *Front) Stopping() bool { return fr.stopping.Load() }
+func (fr *Server) Stopping() bool { return fr.stopping.Load() }
 
-func (fr *Front) ready(ctx echo.Context) error {
+func (fr *Server) ready(ctx echo.Context) error {
 	if err := fr.Ready(); err != nil {
 		return ctx.String(http.StatusServiceUnavailable, err.Error()+"\n")
 	}
 	return ctx.String(http.StatusOK, "ready\n")
 }
 
-func (fr *Front) newKey(ctx echo.Context) error {
+func (fr *Server) newKey(ctx echo.Context) error {
 	key, err := ledger.NewKey(fr.Zone, fr.Clock.Now())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusInternalServerError, err.Error())
@@ -131,7 +131,7 @@
 	return ctx.JSON(http.StatusOK, caller.KeyAnswer{Key: key})
 }
 
-func (fr *Front) call(ctx echo.Context) error {
+func (fr *Server) call(ctx echo.Context) error {
 	fr.inFlight.Add(1)
 	defer fr.inFlight.Add(-1)
 	req, err := fr.request(ctx)
@@ -160,7 +160,7 @@
 }
 
 // request reads a caller's request.
-func (fr *Front) request(ctx echo.Context) (weir.Request, error) {
+func (fr *Server) request(ctx echo.Context) (weir.Request, error) {
 	httpReq := ctx.Request()
 	head := httpReq.Header
 	name := weir.ServiceName(ctx.Param("service"))
