--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -82,7 +82,7 @@
 	Pools       []machine.PoolStatus `json:"pools"`
 }
 
-func (cc *controlCommand) build(kt kit) []weir.Step {
+func (cc *controlCommand) build(kt kit) []weir.Component {
 	clk := clock.System{}
 	self := peer.Identity{ID: cc.ID, Role: "control", Zone: cc.Zone}
 	hb := hub.New()
@@ -107,7 +107,7 @@
 		}
 		return nil
 	}
-	return []weir.Step{
+	return []weir.Component{
 		mbl,
 		nd,
 		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, Gone: hb.Gone, Logger: kt.logger},
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -90,7 +90,7 @@
 	mesh     *mesh.Mesh
 	follower *viewsync.Follower
 	front    *callerapi.Server
-	steps    []weir.Step
+	steps    []weir.Component
 }
 
 func (ec *entryCommand) build(kt kit) *entryProcess {
@@ -111,7 +111,7 @@
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
 	sv := &serve.Service{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
-	pr.steps = []weir.Step{
+	pr.steps = []weir.Component{
 		&ops.Server{
 			Addr: ec.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
 			Dump: pr.dump, Ready: pr.ready,
--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -62,7 +62,7 @@
 	node    *node.Node
 	roster  *roster.Roster
 	service *handler.Handler
-	steps   []weir.Step
+	steps   []weir.Component
 }
 
 // build makes the parts and the steps that run them.
@@ -88,7 +88,7 @@
 	ho.service = &handler.Handler{
 		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
-	ho.steps = []weir.Step{
+	ho.steps = []weir.Component{
 		lks, ho.node, com, own, ho.roster,
 		&peer.Server{Addr: self.ID, Token: ho.Token, Handle: ho.handle, Logger: lg},
 	}
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -47,13 +47,13 @@
 	return err
 }
 
-func (pc *platformEntryCommand) steps(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Step {
+func (pc *platformEntryCommand) steps(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Component {
 	self := peer.Identity{ID: st.PeerAddress(), Role: "entry", Zone: string(st.Zone)}
 	lks := &links.Links{Self: self, Token: peerToken, Logger: lg, NoRaft: true}
 	ros := &roster.Roster{Self: self.ID, Seeds: st.SeedPeers(), Links: lks, Logger: lg}
 	rly := &relay.Relay{Links: lks, Roster: ros, Clock: clock.Steady{}, Logger: lg}
 	ready := func() bool { return !stopping.Load() && rly.Ready() }
-	return []weir.Step{
+	return []weir.Component{
 		lks,
 		ros,
 		pc.watch(lg, ros),
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -47,7 +47,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	var steps []weir.Step
+	var steps []weir.Component
 	for ix := range tc.Count {
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(tc.Port+ix))
 		ann := jobapi.Announcement{Worker: store.Worker{
--- a/internal/duty/run/run.go
+++ b/internal/duty/run/run.go
@@ -17,7 +17,7 @@
 )
 
 // Defaults fills and checks the settings of all steps.
-func Defaults(steps ...weir.Step) error {
+func Defaults(steps ...weir.Component) error {
 	for _, stp := range steps {
 		if err := stp.Default(); err != nil {
 			return errors.Wrapf(err, "settings of %s", stp)
@@ -28,7 +28,7 @@
 
 // All runs the steps until the context ends or one of them fails, then stops
 // the steps last to first, each whole before the next.
-func All(ctx context.Context, lg log.Logger, steps ...weir.Step) error {
+func All(ctx context.Context, lg log.Logger, steps ...weir.Component) error {
 	if err := Defaults(steps...); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	return &group{lg: lg, failed: make(chan error, 1)}
 }
 
-func (gr *group) start(stp weir.Step) {
+func (gr *group) start(stp weir.Component) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	gr.cancels = append(gr.cancels, cancel)
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -85,7 +85,7 @@
 
 // Run keeps the links up and sends adverts.
 func (ms *Mesh) Run(ctx context.Context) error {
-	steps := make([]weir.Step, 0, len(ms.clients)+1)
+	steps := make([]weir.Component, 0, len(ms.clients)+1)
 	for _, cl := range ms.clients {
 		steps = append(steps, cl)
 	}
--- a/internal/entry/viewsync/follow.go
+++ b/internal/entry/viewsync/follow.go
@@ -67,7 +67,7 @@
 
 // Run keeps a subscription until the context ends.
 func (fl *Follower) Run(ctx context.Context) error {
-	steps := make([]weir.Step, 0, len(fl.links)+1)
+	steps := make([]weir.Component, 0, len(fl.links)+1)
 	for _, cl := range fl.links {
 		steps = append(steps, cl)
 	}
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -97,7 +97,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	steps := []weir.Step{lks, nod, com, own}
+	steps := []weir.Component{lks, nod, com, own}
 	require.NoError(sy.t, run.Defaults(steps...))
 	for _, stp := range steps {
 		wg.Go(func() { _ = stp.Run(ctx) })
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -167,7 +167,7 @@
 }
 
 // build makes the parts of the program that lead, and the fleet.
-func (sg *stage) build(ctx context.Context) []weir.Step {
+func (sg *stage) build(ctx context.Context) []weir.Component {
 	com := &scheduler.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
 	sg.fleet = &fleet.Fleet{
 		Clock: sg.clock, Task: sg.task, Announce: func(wk store.Worker) { sg.announce(ctx, wk) }, Standby: standby,
@@ -185,7 +185,7 @@
 	sg.service = &handler.Handler{
 		Store: sg.store, Committer: com, Owner: own, Lead: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
-	return []weir.Step{com, own}
+	return []weir.Component{com, own}
 }
 
 // task tells what a run does, and notes when its job began.
--- a/weir.go
+++ b/weir.go
@@ -90,8 +90,8 @@
 	Do(ctx context.Context, req Request) Answer
 }
 
-// Step is one long-running part of a process.
-type Step interface {
+// Component is one long-running part of a process.
+type Component interface {
 	// String is the step's name in logs.
 	String() string
 	// Default fills unset settings and checks all of them.
