--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -332,7 +332,7 @@
 
 // depart ends a worker's life on its own word.
 func (sv *Handler) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	known, err := sv.Owner.Departed(ctx, call.Worker.ID)
+	known, err := sv.Owner.DeregisterWorker(ctx, call.Worker.ID)
 	if err != nil {
 		return failure(err)
 	}
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -95,9 +95,9 @@
 	return append(changes, store.Change{Leave: &store.Leave{ID: wk.ID, Born: wk.Born, Reason: reason}})
 }
 
-// Departed ends a worker's life on its own word. It reports false where this
+// DeregisterWorker ends a worker's life on its own word. It reports false where this
 // process does not lead, or knows no such worker.
-func (ow *Scheduler) Departed(ctx context.Context, id weir.InstanceID) (bool, error) {
+func (ow *Scheduler) DeregisterWorker(ctx context.Context, id weir.InstanceID) (bool, error) {
 	ow.mu.Lock()
 	re := ow.reign
 	var changes []store.Change
