--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -88,7 +88,7 @@
 	table    *placement.Table
 	store    *ledger.Store
 	mesh     *mesh.Mesh
-	follower *viewsync.Follower
+	follower *viewsync.Subscriber
 	front    *callerapi.Server
 	steps    []weir.Component
 }
@@ -100,7 +100,7 @@
 	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
 	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.Free}
-	pr.follower = &viewsync.Follower{
+	pr.follower = &viewsync.Subscriber{
 		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
 	}
 	dp := &dispatch.Dispatcher{
--- a/internal/entry/viewsync/follow.go
+++ b/internal/entry/viewsync/follow.go
@@ -32,8 +32,8 @@
 	subscribeTimeout = time.Second
 )
 
-// Follower follows the view. Set the exported fields before Run.
-type Follower struct {
+// Subscriber follows the view. Set the exported fields before Run.
+type Subscriber struct {
 	Controls []string
 	Token    string
 	Self     peer.Identity
@@ -51,10 +51,10 @@
 }
 
 // String is the step's name in logs.
-func (fl *Follower) String() string { return "view follower" }
+func (fl *Subscriber) String() string { return "view follower" }
 
 // Default builds the links to the control processes.
-func (fl *Follower) Default() error {
+func (fl *Subscriber) Default() error {
 	fl.feed = -1
 	for ix, addr := range fl.Controls {
 		fl.links = append(fl.links, &peer.Client{
@@ -66,7 +66,7 @@
 }
 
 // Run keeps a subscription until the context ends.
-func (fl *Follower) Run(ctx context.Context) error {
+func (fl *Subscriber) Run(ctx context.Context) error {
 	steps := make([]weir.Component, 0, len(fl.links)+1)
 	for _, cl := range fl.links {
 		steps = append(steps, cl)
@@ -75,14 +75,14 @@
 }
 
 // View returns the present view.
-func (fl *Follower) View() view.View {
+func (fl *Subscriber) View() view.View {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.view
 }
 
 // Call calls a method at the control process that feeds the view.
-func (fl *Follower) Call(ctx context.Context, method string, params, result any) error {
+func (fl *Subscriber) Call(ctx context.Context, method string, params, result any) error {
 	fl.mu.Lock()
 	feed := fl.feed
 	fl.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // doubt makes the subscriber look for another control process.
-func (fl *Follower) doubt() {
+func (fl *Subscriber) doubt() {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.stale = true
@@ -105,7 +105,7 @@
 
 // take handles a notification of the control process that feeds the view.
 // Effects that leave a gap make the follower subscribe again.
-func (fl *Follower) take(from int, call peer.Call) error {
+func (fl *Subscriber) take(from int, call peer.Call) error {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if from != fl.feed {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (fl *Follower) takeEffects(list []view.Effect) {
+func (fl *Subscriber) takeEffects(list []view.Effect) {
 	for _, eff := range list {
 		vw, err := fl.view.With(eff)
 		if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // keepFeed subscribes again whenever the feed is lost or in doubt.
-func (fl *Follower) keepFeed(ctx context.Context) error {
+func (fl *Subscriber) keepFeed(ctx context.Context) error {
 	return run.Every(ctx, checkEvery, func() {
 		if fl.needsFeed() {
 			fl.subscribe(ctx)
@@ -154,14 +154,14 @@
 	})
 }
 
-func (fl *Follower) needsFeed() bool {
+func (fl *Subscriber) needsFeed() bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.feed < 0 || fl.stale || !fl.links[fl.feed].Ready() || fl.links[fl.feed].Conn() != fl.feedOn
 }
 
 // subscribe tries the control processes behind the last one, in turn.
-func (fl *Follower) subscribe(ctx context.Context) {
+func (fl *Subscriber) subscribe(ctx context.Context) {
 	fl.mu.Lock()
 	start := fl.feed + 1
 	if fl.feed < 0 {
