--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -134,11 +134,11 @@
 
 // roomOf returns, for each pool, the most that any of its workers has free of
 // each kind of room. What does not fit there need not be looked at further.
-func roomOf(workers []plan.Worker) map[weir.PoolName]spec.Need {
-	room := map[weir.PoolName]spec.Need{}
+func roomOf(workers []plan.Worker) map[weir.PoolName]spec.Resources {
+	room := map[weir.PoolName]spec.Resources{}
 	for _, wk := range workers {
 		most := room[wk.Pool]
-		room[wk.Pool] = spec.Need{
+		room[wk.Pool] = spec.Resources{
 			MilliCPU: max(most.MilliCPU, wk.Free.MilliCPU), MemoryMB: max(most.MemoryMB, wk.Free.MemoryMB), GPU: max(most.GPU, wk.Free.GPU),
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // ready lists the steps with tasks that may start now.
-func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Need) []plan.Group {
+func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Resources) []plan.Group {
 	var groups []plan.Group
 	wall := ow.Wall.Now()
 	for _, dm := range demand {
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -44,8 +44,8 @@
 // Ref names one task of a job.
 type Ref = weir.TaskRef
 
-// Need is what one task needs of a worker.
-type Need struct {
+// Resources is what one task needs of a worker.
+type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int `json:"cpu,omitempty"`
 	MemoryMB int `json:"mem,omitempty"`
@@ -53,24 +53,24 @@
 }
 
 // Plus returns the sum of two needs.
-func (nd Need) Plus(other Need) Need {
-	return Need{MilliCPU: nd.MilliCPU + other.MilliCPU, MemoryMB: nd.MemoryMB + other.MemoryMB, GPU: nd.GPU + other.GPU}
+func (nd Resources) Plus(other Resources) Resources {
+	return Resources{MilliCPU: nd.MilliCPU + other.MilliCPU, MemoryMB: nd.MemoryMB + other.MemoryMB, GPU: nd.GPU + other.GPU}
 }
 
 // Minus returns the difference of two needs.
-func (nd Need) Minus(other Need) Need {
-	return Need{MilliCPU: nd.MilliCPU - other.MilliCPU, MemoryMB: nd.MemoryMB - other.MemoryMB, GPU: nd.GPU - other.GPU}
+func (nd Resources) Minus(other Resources) Resources {
+	return Resources{MilliCPU: nd.MilliCPU - other.MilliCPU, MemoryMB: nd.MemoryMB - other.MemoryMB, GPU: nd.GPU - other.GPU}
 }
 
 // Fits reports whether the need is within the room.
-func (nd Need) Fits(room Need) bool {
+func (nd Resources) Fits(room Resources) bool {
 	return nd.MilliCPU <= room.MilliCPU && nd.MemoryMB <= room.MemoryMB && nd.GPU <= room.GPU
 }
 
 // Step is a set of alike tasks.
 type Step struct {
-	Count int  `json:"count"`
-	Need  Need `json:"need"`
+	Count int       `json:"count"`
+	Need  Resources `json:"need"`
 	// Estimate is the caller's rough figure for one task's duration.
 	Estimate time.Duration `json:"estimate,omitempty"`
 	// After lists earlier steps that must be done first.
@@ -104,9 +104,9 @@
 }
 
 // Counted is the need that counts against a worker's room.
-func (st Step) Counted() Need {
+func (st Step) Counted() Resources {
 	if st.Filling {
-		return Need{MemoryMB: st.Need.MemoryMB, GPU: st.Need.GPU}
+		return Resources{MemoryMB: st.Need.MemoryMB, GPU: st.Need.GPU}
 	}
 	return st.Need
 }
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -53,7 +53,7 @@
 }
 
 // Runs returns the runs that may be at a worker, with what they count.
-func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Need { return rd.st.Runs[id] }
+func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
 
 // Load sums up the runs that may be at a worker.
 func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -139,16 +139,16 @@
 
 // state is the whole replicated state.
 type state struct {
-	Index   uint64                                   `json:"index"`
-	Packed  catalog.Packed                           `json:"catalog"`
-	Jobs    map[spec.ID]*JobState                    `json:"jobs"`
-	Workers map[weir.InstanceID]*Worker              `json:"workers"`
-	Waves   map[int64]*Wave                          `json:"waves"`
-	Orders  map[string]*MachineOperation             `json:"orders"`
-	Active  map[spec.ID]bool                         `json:"-"`
-	ByQueue map[string]map[spec.ID]bool              `json:"-"`
-	Runs    map[weir.InstanceID]map[RunKey]spec.Need `json:"-"`
-	Loads   map[weir.InstanceID]WorkerLoad           `json:"-"`
+	Index   uint64                                        `json:"index"`
+	Packed  catalog.Packed                                `json:"catalog"`
+	Jobs    map[spec.ID]*JobState                         `json:"jobs"`
+	Workers map[weir.InstanceID]*Worker                   `json:"workers"`
+	Waves   map[int64]*Wave                               `json:"waves"`
+	Orders  map[string]*MachineOperation                  `json:"orders"`
+	Active  map[spec.ID]bool                              `json:"-"`
+	ByQueue map[string]map[spec.ID]bool                   `json:"-"`
+	Runs    map[weir.InstanceID]map[RunKey]spec.Resources `json:"-"`
+	Loads   map[weir.InstanceID]WorkerLoad                `json:"-"`
 	// Catalog is what Packed holds, and Queues its queues by key.
 	Catalog catalog.Catalog          `json:"-"`
 	Queues  map[string]catalog.Queue `json:"-"`
@@ -159,7 +159,7 @@
 // WorkerLoad sums up the runs that may be at a worker.
 type WorkerLoad struct {
 	// Used is the room that they take.
-	Used spec.Need
+	Used spec.Resources
 	// Serving counts the lasting tasks that serve users, Filling those that use
 	// what others leave.
 	Serving, Filling int
@@ -170,7 +170,7 @@
 // with returns the load with count more runs of a step.
 func (wl WorkerLoad) with(step spec.Step, count int) WorkerLoad {
 	need := step.Counted()
-	wl.Used = wl.Used.Plus(spec.Need{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
+	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
 	case step.Filling:
 		wl.Filling += count
@@ -201,7 +201,7 @@
 func (st *state) index() {
 	st.Active = map[spec.ID]bool{}
 	st.ByQueue = map[string]map[spec.ID]bool{}
-	st.Runs = map[weir.InstanceID]map[RunKey]spec.Need{}
+	st.Runs = map[weir.InstanceID]map[RunKey]spec.Resources{}
 	st.Loads = map[weir.InstanceID]WorkerLoad{}
 	st.indexQueues()
 	for id, js := range st.Jobs {
@@ -246,7 +246,7 @@
 func (st *state) addRun(js *JobState, rf spec.Ref, tk *Task) {
 	runs := st.Runs[tk.Worker]
 	if runs == nil {
-		runs = map[RunKey]spec.Need{}
+		runs = map[RunKey]spec.Resources{}
 		st.Runs[tk.Worker] = runs
 	}
 	step := js.Spec.Steps[rf.Step]
--- a/internal/schedule/plan/load_test.go
+++ b/internal/schedule/plan/load_test.go
@@ -37,7 +37,7 @@
 	job    *loadJob
 	worker int
 	until  time.Duration
-	need   spec.Need
+	need   spec.Resources
 }
 
 const (
@@ -79,7 +79,7 @@
 			if jb.toStart == 0 || jb.arrives > at {
 				continue
 			}
-			gr := group(jb.id, spec.Step{Count: jb.toStart, Need: spec.Need{MilliCPU: 4000}, Estimate: jb.length})
+			gr := group(jb.id, spec.Step{Count: jb.toStart, Need: spec.Resources{MilliCPU: 4000}, Estimate: jb.length})
 			gr.StartBy = start.Add(jb.due - jb.length)
 			if byWork {
 				gr.Work = float64(4*jb.toStart) * jb.length.Seconds()
@@ -107,7 +107,7 @@
 		jb.toStart--
 		for ix := range ld.workers {
 			if ld.workers[ix].ID == pl.Worker {
-				need := spec.Need{MilliCPU: 4000}
+				need := spec.Resources{MilliCPU: 4000}
 				ld.workers[ix].Free = ld.workers[ix].Free.Minus(need)
 				ld.running = append(ld.running, loadRun{job: jb, worker: ix, until: at + jb.length, need: need})
 			}
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/plan/plan.go
@@ -63,7 +63,7 @@
 	Kind string
 	Rack string
 	// Free is the room that no run takes.
-	Free spec.Need
+	Free spec.Resources
 	// Serving and Filling count the lasting tasks, apart from those that use
 	// what others leave.
 	Serving int
--- a/internal/schedule/plan/plan_test.go
+++ b/internal/schedule/plan/plan_test.go
@@ -15,7 +15,7 @@
 var testNow = time.Unix(1_800_000_000, 0)
 
 func worker(id string, cores int) Worker {
-	return Worker{ID: weir.InstanceID(id), Born: 1, Pool: "desk", Rack: "r-" + id, Free: spec.Need{MilliCPU: cores * 1000, MemoryMB: 100_000}}
+	return Worker{ID: weir.InstanceID(id), Born: 1, Pool: "desk", Rack: "r-" + id, Free: spec.Resources{MilliCPU: cores * 1000, MemoryMB: 100_000}}
 }
 
 func group(job string, step spec.Step, edit ...func(gr *Group)) Group {
@@ -40,7 +40,7 @@
 	}
 }
 
-func cores(count int) spec.Need { return spec.Need{MilliCPU: count * 1000, MemoryMB: 10} }
+func cores(count int) spec.Resources { return spec.Resources{MilliCPU: count * 1000, MemoryMB: 10} }
 
 // counts tells how many tasks of each job went to each worker.
 func counts(placements []Placement) map[string]int {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -46,7 +46,7 @@
 	Name string
 	Pool weir.PoolName
 	Rack string
-	Room spec.Need
+	Room spec.Resources
 }
 
 // Fleet is a set of machines. Set the exported fields before use.
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -219,7 +219,7 @@
 		mean := around(rng, po.Work, 0.5, 2.5*po.Work)
 		st := spec.Step{
 			Count:    max(1, int(math.Round(around(rng, po.Width, 0.6, 4*po.Width)))),
-			Need:     spec.Need{MilliCPU: int(1000 * around(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
+			Need:     spec.Resources{MilliCPU: int(1000 * around(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
 			Estimate: time.Duration(around(rng, mean, po.EstimateOff, 3*mean) * float64(time.Second)), Checkpointing: po.Checkpointing,
 		}
 		if sp > 0 {
@@ -243,7 +243,7 @@
 	var out []*spec.Job
 	for ix := range po.Lasting {
 		out = append(out, &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-lasting-%d", po.Name, ix)), Text: "play", Steps: []spec.Step{{
-			Count: po.LastingWidth, Need: spec.Need{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, Lasting: true,
+			Count: po.LastingWidth, Need: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, Lasting: true,
 			MaxPerWorker: 1, MaxAway: 1,
 		}}})
 	}
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -225,7 +225,7 @@
 		}
 		time.Sleep(announceEvery)
 	}
-	room := spec.Need{MilliCPU: int(sg.Load.Room * 1000), MemoryMB: 1 << 20}
+	room := spec.Resources{MilliCPU: int(sg.Load.Room * 1000), MemoryMB: 1 << 20}
 	number := 0
 	add := func(pool weir.PoolName, count int) {
 		for range count {
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -38,7 +38,7 @@
 	Length time.Duration
 	// Lasts marks a task that does not end by itself.
 	Lasts bool
-	Need  spec.Need
+	Need  spec.Resources
 }
 
 // running is one run.
@@ -70,7 +70,7 @@
 	return (rn.worked(now) - rn.from).Seconds() * cores(rn.Need)
 }
 
-func cores(nd spec.Need) float64 { return float64(nd.MilliCPU) / 1000 }
+func cores(nd spec.Resources) float64 { return float64(nd.MilliCPU) / 1000 }
 
 // Usage is what a worker does and has done.
 type Usage struct {
@@ -91,7 +91,7 @@
 	// order's text. It must not block.
 	Task func(order weir.RunOrder) Task
 	// Room bounds what runs at a time; the zero value bounds nothing.
-	Room spec.Need
+	Room spec.Resources
 
 	mu     sync.Mutex
 	origin time.Time
@@ -184,7 +184,7 @@
 	if wk.Task != nil {
 		rn.Task = wk.Task(order)
 	}
-	if wk.Room != (spec.Need{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
+	if wk.Room != (spec.Resources{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
 		return weir.RefusedRoom
 	}
 	wk.runs[order.RunKey] = rn
@@ -192,8 +192,8 @@
 }
 
 // used is the room that runs take.
-func (wk *Worker) used() spec.Need {
-	var sum spec.Need
+func (wk *Worker) used() spec.Resources {
+	var sum spec.Resources
 	for _, rn := range wk.runs {
 		sum = sum.Plus(rn.Need)
 	}
