--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -148,7 +148,7 @@
 	if _, open := rd.Order(machine); open && last.Before(re.since) {
 		last = re.since
 	}
-	return now.Sub(last) >= ow.OrderPause
+	return now.Sub(last) >= ow.MachineOrderDelay
 }
 
 // unanswered lists the orders that are committed and not known to be done:
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -89,8 +89,8 @@
 	OnLeadershipChange func(leads bool)
 	// HolderName names this process to the machines' platform.
 	HolderName string
-	// OrderPause is how long after an election no machine is ordered about.
-	OrderPause time.Duration
+	// MachineOrderDelay is how long after an election no machine is ordered about.
+	MachineOrderDelay time.Duration
 
 	wake chan struct{}
 
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -175,7 +175,7 @@
 	}
 	own := &scheduler.Scheduler{
 		Store: sg.store, Committer: com, Leadership: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
-		Lease: 3 * time.Second, Retention: time.Minute, OrderPause: 3500 * time.Millisecond,
+		Lease: 3 * time.Second, Retention: time.Minute, MachineOrderDelay: 3500 * time.Millisecond,
 	}
 	if sg.Policy == PolicyOwner {
 		own.Machines = sg.fleet
