--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -28,8 +28,8 @@
 	callTimeout = 2 * time.Second
 )
 
-// Caller reaches the leader and knows the view.
-type Caller interface {
+// ControlClient reaches the leader and knows the view.
+type ControlClient interface {
 	Call(ctx context.Context, method string, params, result any) error
 	View() view.View
 }
@@ -40,7 +40,7 @@
 	Zone     weir.Zone
 	Started  time.Time
 	Table    *placement.Table
-	Follower Caller
+	Follower ControlClient
 	Clock    weir.Clock
 	Logger   log.Logger
 
