--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -182,7 +182,7 @@
 	work := 0.0
 	for sp, ss := range js.Rounds[oc] {
 		step := js.Spec.Steps[sp]
-		work += float64(ss.Left*step.Need.MilliCPU) / 1000 * step.Estimate.Seconds()
+		work += float64(ss.Left*step.Resources.MilliCPU) / 1000 * step.Estimate.Seconds()
 	}
 	return work
 }
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -69,8 +69,8 @@
 
 // Step is a set of alike tasks.
 type Step struct {
-	Count int       `json:"count"`
-	Need  Resources `json:"need"`
+	Count     int       `json:"count"`
+	Resources Resources `json:"need"`
 	// Estimate is the caller's rough figure for one task's duration.
 	Estimate time.Duration `json:"estimate,omitempty"`
 	// After lists earlier steps that must be done first.
@@ -106,9 +106,9 @@
 // Counted is the need that counts against a worker's room.
 func (st Step) Counted() Resources {
 	if st.Filling {
-		return Resources{MemoryMB: st.Need.MemoryMB, GPU: st.Need.GPU}
+		return Resources{MemoryMB: st.Resources.MemoryMB, GPU: st.Resources.GPU}
 	}
-	return st.Need
+	return st.Resources
 }
 
 // Spread is the number of workers that the step's tasks should be on, so that
@@ -195,7 +195,7 @@
 	switch {
 	case st.Count < 1:
 		return invalid("step %d has %d tasks", ix, st.Count)
-	case st.Need.MilliCPU < 0 || st.Need.MemoryMB < 0 || st.Need.GPU < 0:
+	case st.Resources.MilliCPU < 0 || st.Resources.MemoryMB < 0 || st.Resources.GPU < 0:
 		return invalid("step %d has a negative need", ix)
 	case st.MaxPerWorker < 0 || st.MaxAway < 0:
 		return invalid("step %d has a negative limit", ix)
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -89,7 +89,7 @@
 	return Change{End: &End{Task: spec.Ref{Job: spec.ID(job), Step: step, Index: index}, Run: run, How: how}}
 }
 
-var one = spec.Step{Count: 1, Need: spec.Resources{MilliCPU: 1000}}
+var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
 
 func TestStepsRunInOrder(t *testing.T) {
 	fx := newFixture(t)
@@ -163,7 +163,7 @@
 
 func TestLivesOfWorkers(t *testing.T) {
 	fx := newFixture(t)
-	fx.submit("a", spec.Step{Count: 3, Need: spec.Resources{MilliCPU: 1000}})
+	fx.submit("a", spec.Step{Count: 3, Resources: spec.Resources{MilliCPU: 1000}})
 	for ix := range 3 {
 		fx.taken(start("a", 0, ix, 1, ix))
 	}
@@ -279,7 +279,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		fx := newFixture(rt)
 		for job := range 3 {
-			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Need: spec.Resources{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
+			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Resources: spec.Resources{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
 		}
 		hows := []How{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
--- a/internal/schedule/plan/load_test.go
+++ b/internal/schedule/plan/load_test.go
@@ -79,7 +79,7 @@
 			if jb.toStart == 0 || jb.arrives > at {
 				continue
 			}
-			gr := group(jb.id, spec.Step{Count: jb.toStart, Need: spec.Resources{MilliCPU: 4000}, Estimate: jb.length})
+			gr := group(jb.id, spec.Step{Count: jb.toStart, Resources: spec.Resources{MilliCPU: 4000}, Estimate: jb.length})
 			gr.StartBy = start.Add(jb.due - jb.length)
 			if byWork {
 				gr.Work = float64(4*jb.toStart) * jb.length.Seconds()
--- a/internal/schedule/plan/plan_test.go
+++ b/internal/schedule/plan/plan_test.go
@@ -58,101 +58,101 @@
 		want    map[string]int
 	}{
 		"no more than fits": {
-			[]Group{group("a", spec.Step{Count: 9, Need: cores(2)})},
+			[]Group{group("a", spec.Step{Count: 9, Resources: cores(2)})},
 			[]Worker{worker("w1", 4), worker("w2", 5)},
 			map[string]int{"a on w1": 2, "a on w2": 2},
 		},
 		"urgent before late, late before nothing": {
 			[]Group{
-				group("late", spec.Step{Count: 1, Need: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(-time.Second) }),
-				group("soon", spec.Step{Count: 1, Need: cores(4)}),
+				group("late", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(-time.Second) }),
+				group("soon", spec.Step{Count: 1, Resources: cores(4)}),
 			},
 			[]Worker{worker("w1", 4)},
 			map[string]int{"soon on w1": 1},
 		},
 		"priority 0 first": {
 			[]Group{
-				group("second", spec.Step{Count: 1, Need: cores(4)}, func(gr *Group) { gr.Priority = 1 }),
-				group("first", spec.Step{Count: 1, Need: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(time.Hour) }),
+				group("second", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.Priority = 1 }),
+				group("first", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(time.Hour) }),
 			},
 			[]Worker{worker("w1", 4)},
 			map[string]int{"first on w1": 1},
 		},
 		"lasting tasks wait for more workers": {
-			[]Group{group("a", spec.Step{Count: 5, Need: cores(1), Lasting: true, MaxAway: 1}, waitingFor(time.Second))},
+			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), Lasting: true, MaxAway: 1}, waitingFor(time.Second))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
 		"lasting tasks do not wait for ever": {
-			[]Group{group("a", spec.Step{Count: 5, Need: cores(1), Lasting: true, MaxAway: 1}, waitingFor(spreadPatience))},
+			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), Lasting: true, MaxAway: 1}, waitingFor(spreadPatience))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 3, "a on w2": 2},
 		},
 		"a clock that was set back ends the wait": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(1), Lasting: true, MaxAway: 1}, waitingFor(-time.Second))},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), Lasting: true, MaxAway: 1}, waitingFor(-time.Second))},
 			[]Worker{worker("w1", 8)},
 			map[string]int{"a on w1": 2},
 		},
 		"as many as may be away share a worker at once": {
-			[]Group{group("a", spec.Step{Count: 4, Need: cores(1), Lasting: true, MaxAway: 2}, waitingFor(0))},
+			[]Group{group("a", spec.Step{Count: 4, Resources: cores(1), Lasting: true, MaxAway: 2}, waitingFor(0))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 2, "a on w2": 2},
 		},
 		"lasting tasks of a step stay apart": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(1), Lasting: true, MaxAway: 1})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), Lasting: true, MaxAway: 1})},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
 		"a bound on tasks of a step on one worker": {
-			[]Group{group("a", spec.Step{Count: 3, Need: cores(1), MaxPerWorker: 1}, func(gr *Group) { gr.On["w2"] = 1 })},
+			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1), MaxPerWorker: 1}, func(gr *Group) { gr.On["w2"] = 1 })},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1},
 		},
 		"a gang wholly or not at all": {
 			[]Group{
-				group("gang", spec.Step{Count: 3, Need: cores(2), Gang: true}),
-				group("other", spec.Step{Count: 1, Need: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(time.Minute) }),
+				group("gang", spec.Step{Count: 3, Resources: cores(2), Gang: true}),
+				group("other", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(time.Minute) }),
 			},
 			[]Worker{worker("w1", 4)},
 			map[string]int{"other on w1": 1},
 		},
 		"a label": {
-			[]Group{group("a", spec.Step{Count: 1, Need: cores(1), Label: "b"})},
+			[]Group{group("a", spec.Step{Count: 1, Resources: cores(1), Label: "b"})},
 			[]Worker{worker("w1", 4), func() Worker { wk := worker("w2", 4); wk.Kind = "b"; return wk }()},
 			map[string]int{"a on w2": 1},
 		},
 		"near its data": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(2), DataRack: "r-w2"})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(2), DataRack: "r-w2"})},
 			[]Worker{worker("w1", 64), worker("w2", 2)},
 			map[string]int{"a on w2": 1, "a on w1": 1},
 		},
 		"on one rack": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(2), OneRack: true})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(2), OneRack: true})},
 			[]Worker{worker("w1", 2), worker("w2", 4)},
 			map[string]int{"a on w2": 2},
 		},
 		"a suspect worker last": {
-			[]Group{group("a", spec.Step{Count: 1, Need: cores(1)})},
+			[]Group{group("a", spec.Step{Count: 1, Resources: cores(1)})},
 			[]Worker{func() Worker { wk := worker("w1", 2); wk.Suspect = true; return wk }(), worker("w2", 64)},
 			map[string]int{"a on w2": 1},
 		},
 		"tasks that fill take no processor, and keep away from those that serve": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(8), Filling: true, Lasting: true})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(8), Filling: true, Lasting: true})},
 			[]Worker{worker("w1", 1), worker("w2", 1), func() Worker { wk := worker("w3", 64); wk.Serving = 1; return wk }()},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
 		"gathered where lasting tasks are": {
-			[]Group{group("a", spec.Step{Count: 2, Need: cores(1)})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1)})},
 			[]Worker{worker("w1", 2), func() Worker { wk := worker("w2", 64); wk.Serving = 1; return wk }()},
 			map[string]int{"a on w2": 2},
 		},
 		"only where the adviser allows it": {
-			[]Group{group("a", spec.Step{Count: 3, Need: cores(1)}, func(gr *Group) { gr.Allowed = map[weir.InstanceID]string{"w2": "ticket"} })},
+			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1)}, func(gr *Group) { gr.Allowed = map[weir.InstanceID]string{"w2": "ticket"} })},
 			[]Worker{worker("w1", 64), worker("w2", 2)},
 			map[string]int{"a on w2": 2},
 		},
 		"another pool's workers are not used": {
-			[]Group{group("a", spec.Step{Count: 1, Need: cores(1)}, func(gr *Group) { gr.Pool = "lab" })},
+			[]Group{group("a", spec.Step{Count: 1, Resources: cores(1)}, func(gr *Group) { gr.Pool = "lab" })},
 			[]Worker{worker("w1", 2)},
 			map[string]int{},
 		},
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -218,9 +218,9 @@
 	for sp := range max(1, int(math.Round(around(rng, po.Steps, 0.4, 2.5*po.Steps)))) {
 		mean := around(rng, po.Work, 0.5, 2.5*po.Work)
 		st := spec.Step{
-			Count:    max(1, int(math.Round(around(rng, po.Width, 0.6, 4*po.Width)))),
-			Need:     spec.Resources{MilliCPU: int(1000 * around(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
-			Estimate: time.Duration(around(rng, mean, po.EstimateOff, 3*mean) * float64(time.Second)), Checkpointing: po.Checkpointing,
+			Count:     max(1, int(math.Round(around(rng, po.Width, 0.6, 4*po.Width)))),
+			Resources: spec.Resources{MilliCPU: int(1000 * around(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
+			Estimate:  time.Duration(around(rng, mean, po.EstimateOff, 3*mean) * float64(time.Second)), Checkpointing: po.Checkpointing,
 		}
 		if sp > 0 {
 			st.After = []int{sp - 1}
@@ -229,7 +229,7 @@
 		for ix := range lengths {
 			lengths[ix] = time.Duration(around(rng, mean, po.Uneven, 3*mean) * float64(time.Second))
 			longest = max(longest, lengths[ix])
-			pd.work += lengths[ix].Seconds() * float64(st.Need.MilliCPU) / 1000
+			pd.work += lengths[ix].Seconds() * float64(st.Resources.MilliCPU) / 1000
 		}
 		pd.chain += longest
 		pd.job.Steps = append(pd.job.Steps, st)
@@ -243,7 +243,7 @@
 	var out []*spec.Job
 	for ix := range po.Lasting {
 		out = append(out, &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-lasting-%d", po.Name, ix)), Text: "play", Steps: []spec.Step{{
-			Count: po.LastingWidth, Need: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, Lasting: true,
+			Count: po.LastingWidth, Resources: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, Lasting: true,
 			MaxPerWorker: 1, MaxAway: 1,
 		}}})
 	}
