--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -81,7 +81,7 @@
 	}
 	com := &scheduler.Committer{Log: ho.node, Wall: wall}
 	own := &scheduler.Scheduler{
-		Store: str, Committer: com, Leadership: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
+		Store: str, Committer: com, Leadership: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineOrderRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
 		Lease: workerLease, Retention: ho.Retention, OnLeadershipChange: ho.Leading, HolderName: ho.Name, MachineOrderDelay: ho.Turn,
 	}
 	str.Applied = own.Wake
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -72,8 +72,8 @@
 	Workers    weir.TaskWorkers
 	// Machines may be nil where no platform can be asked for maintenance.
 	Machines weir.MachinePlatform
-	// MachineRate is how many orders a second that platform takes; 0 is any.
-	MachineRate float64
+	// MachineOrderRate is how many orders a second that platform takes; 0 is any.
+	MachineOrderRate float64
 	// Adviser may be nil where no queue needs advice.
 	Adviser weir.Adviser
 	// Clock is steady and counts time in which the machine stood still; Wall
@@ -193,7 +193,7 @@
 	re := &reign{
 		term: term, since: ow.Clock.Now(), sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{},
 		health: map[weir.InstanceID]*health{}, avoid: map[weir.TaskRef]weir.InstanceID{},
-		pace: map[weir.InstanceID]*paced{}, machines: newMachineDuty(ow.MachineRate), evicted: map[weir.RunKey]bool{}, watched: map[weir.RunKey]progress{},
+		pace: map[weir.InstanceID]*paced{}, machines: newMachineDuty(ow.MachineOrderRate), evicted: map[weir.RunKey]bool{}, watched: map[weir.RunKey]progress{},
 		slow: map[weir.TaskRef]bool{}, advice: map[weir.TaskRef]*advised{},
 	}
 	ow.setReign(re)
