--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -124,7 +124,7 @@
 		},
 		&report.Reporter{
 			Self: ec.ID, Zone: zone, Started: clk.Now().UTC().Round(time.Millisecond), Table: pr.table,
-			Follower: pr.follower, Clock: clk, Logger: kt.logger,
+			Control: pr.follower, Clock: clk, Logger: kt.logger,
 		},
 		&serve.Announcements{Addr: ec.EndpointAddr, Table: pr.table},
 		&run.Func{Name: "drainer", Do: pr.drain},
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -36,13 +36,13 @@
 
 // Reporter reports. Set the exported fields before Run.
 type Reporter struct {
-	Self     string
-	Zone     weir.Zone
-	Started  time.Time
-	Table    *placement.Table
-	Follower ControlClient
-	Clock    weir.Clock
-	Logger   log.Logger
+	Self    string
+	Zone    weir.Zone
+	Started time.Time
+	Table   *placement.Table
+	Control ControlClient
+	Clock   weir.Clock
+	Logger  log.Logger
 
 	lastAt   time.Time
 	lastView uint64
@@ -65,7 +65,7 @@
 
 func (rp *Reporter) tick(ctx context.Context) {
 	now := rp.Clock.Now()
-	vw := rp.Follower.View()
+	vw := rp.Control.View()
 	full := rp.full
 	rep := peerapi.Report{
 		Entry: rp.Self, Zone: rp.Zone, Started: rp.Started, View: vw.Index, Number: vw.Number, Full: full,
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var ans peerapi.ReportAnswer
-	if err := rp.Follower.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
+	if err := rp.Control.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
 		rp.Table.Resend(rep.Statuses)
 		rp.full = true
 		_ = rp.Logger.Log("level", "debug", "msg", "report not delivered", "err", err.Error())
