--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -14,7 +14,7 @@
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/state/node"
@@ -75,18 +75,18 @@
 
 // controlState is a control process's part of the state dump.
 type controlState struct {
-	Log         replica.Status       `json:"log"`
-	Applied     uint64               `json:"applied"`
-	Number      uint64               `json:"number"`
-	Subscribers int                  `json:"subscribers"`
-	Pools       []machine.PoolStatus `json:"pools"`
+	Log         replica.Status   `json:"log"`
+	Applied     uint64           `json:"applied"`
+	Number      uint64           `json:"number"`
+	Subscribers int              `json:"subscribers"`
+	Pools       []fsm.PoolStatus `json:"pools"`
 }
 
 func (cc *controlCommand) build(kt kit) []weir.Component {
 	clk := clock.System{}
 	self := peer.Identity{ID: cc.ID, Role: "control", Zone: cc.Zone}
 	hb := hub.New()
-	mc := machine.New(hb.Publish, hb.Reset)
+	mc := fsm.New(hb.Publish, hb.Reset)
 	hb.View = mc.View
 	rg := registry.New()
 	mbl := &links.Links{Self: self, Token: kt.token, Addrs: cc.members, Logger: kt.logger}
@@ -98,7 +98,7 @@
 	api := &operatorapi.API{Service: sv}
 	dump := func() any {
 		st := controlState{Log: nd.Status(), Subscribers: hb.Subscribers()}
-		mc.Read(func(rd machine.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.Number(), rd.Pools() })
+		mc.Read(func(rd fsm.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.Number(), rd.Pools() })
 		return st
 	}
 	ready := func() error {
--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -12,7 +12,7 @@
 	"greengageweir/internal/config/file"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/pkg/errors"
 
@@ -221,7 +221,7 @@
 
 // Execute implements flags.Commander.
 func (ch *configHistory) Execute([]string) error {
-	return get(&ch.remote, "/v1/config/history", func(list []machine.Change) {
+	return get(&ch.remote, "/v1/config/history", func(list []fsm.Change) {
 		rows := make([][]string, 0, len(list))
 		for _, chg := range list {
 			rows = append(rows, []string{
--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -9,7 +9,7 @@
 
 	"greengageweir/internal/contract/operator"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/pkg/errors"
 
@@ -197,7 +197,7 @@
 	})
 }
 
-func usageRow(line machine.UsageLine) []string {
+func usageRow(line fsm.UsageLine) []string {
 	return []string{
 		string(line.Service), string(line.Team), strconv.FormatUint(line.Done, 10),
 		strconv.FormatUint(line.Failed, 10), strconv.FormatUint(line.BusyMillis, 10),
--- a/cmd/weirstandin/verify.go
+++ b/cmd/weirstandin/verify.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/standin/load"
 	"greengageweir/internal/standin/verify"
 
@@ -29,13 +29,13 @@
 	if err != nil {
 		return err
 	}
-	var usage []machine.UsageLine
+	var usage []fsm.UsageLine
 	if vc.Usage != "" {
 		var ans operator.UsageAnswer
 		if err := readJSON(vc.Usage, &ans); err != nil {
 			return err
 		}
-		usage = append([]machine.UsageLine{}, ans.Lines...)
+		usage = append([]fsm.UsageLine{}, ans.Lines...)
 	}
 	rep := verify.Compare(results, runs, usage)
 	rep.Print(os.Stdout)
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -13,7 +13,7 @@
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 
 	weir "greengageweir"
@@ -66,13 +66,13 @@
 
 // StatusAnswer is the state of the fleet.
 type StatusAnswer struct {
-	Leader    string               `json:"leader"`
-	Index     uint64               `json:"index"`
-	Number    uint64               `json:"number"`
-	Processes []peerapi.Process    `json:"processes"`
-	Pools     []machine.PoolStatus `json:"pools"`
-	Moves     uint64               `json:"moves"`
-	Demand    []peerapi.Demand     `json:"demand"`
+	Leader    string            `json:"leader"`
+	Index     uint64            `json:"index"`
+	Number    uint64            `json:"number"`
+	Processes []peerapi.Process `json:"processes"`
+	Pools     []fsm.PoolStatus  `json:"pools"`
+	Moves     uint64            `json:"moves"`
+	Demand    []peerapi.Demand  `json:"demand"`
 }
 
 // InForce reports whether a configuration is in force at each process that is
@@ -94,7 +94,7 @@
 // WaveStatus is a wave with its progress.
 type WaveStatus struct {
 	Name      string            `json:"name"`
-	State     machine.WaveState `json:"state"`
+	State     fsm.WaveState     `json:"state"`
 	Todo      int               `json:"todo"`
 	Active    []weir.InstanceID `json:"active"`
 	Done      int               `json:"done"`
@@ -114,6 +114,6 @@
 
 // UsageAnswer is the settled usage and whether reports are still under way.
 type UsageAnswer struct {
-	Index uint64              `json:"index"`
-	Lines []machine.UsageLine `json:"lines"`
+	Index uint64          `json:"index"`
+	Lines []fsm.UsageLine `json:"lines"`
 }
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -19,7 +19,7 @@
 	"greengageweir/internal/control/serve"
 	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/labstack/echo/v4"
 
@@ -122,7 +122,7 @@
 		return unavailable(err)
 	}
 	var delta model.Delta
-	ap.Service.Machine.Read(func(rd machine.Reader) { delta = model.Diff(rd.Config(), req.Config) })
+	ap.Service.Machine.Read(func(rd fsm.Reader) { delta = model.Diff(rd.Config(), req.Config) })
 	return ap.propose(ech, command.Command{RequestID: req.RequestID, Config: &command.ConfigApply{
 		Expected: req.Expected, Delta: delta, Checksum: req.Config.Checksum(), Note: req.Note,
 	}})
@@ -130,7 +130,7 @@
 
 func (ap *API) config(context.Context, echo.Context) (any, error) {
 	var ans operator.ConfigAnswer
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans = operator.ConfigAnswer{Number: rd.Number(), Config: rd.Config()}
 	})
 	ans.Checksum = ans.Config.Checksum()
@@ -138,15 +138,15 @@
 }
 
 func (ap *API) history(context.Context, echo.Context) (any, error) {
-	var list []machine.Change
-	ap.Service.Machine.Read(func(rd machine.Reader) { list = rd.History() })
+	var list []fsm.Change
+	ap.Service.Machine.Read(func(rd fsm.Reader) { list = rd.History() })
 	return list, nil
 }
 
 func (ap *API) status(ctx context.Context, ech echo.Context) (any, error) {
 	st := ap.Service.Node.Status()
 	ans := operator.StatusAnswer{Leader: st.Leader}
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans.Index, ans.Number, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.Moves()
 	})
 	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
@@ -163,7 +163,7 @@
 
 func (ap *API) instances(context.Context, echo.Context) (any, error) {
 	var list []operator.InstanceStatus
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		for id, mem := range rd.Members() {
 			sta := rd.Statuses()[id]
 			list = append(list, operator.InstanceStatus{Member: mem, Up: sta.Up, Entry: sta.Entry})
@@ -176,7 +176,7 @@
 func (ap *API) waves(context.Context, echo.Context) (any, error) {
 	list := []operator.WaveStatus{}
 	now := ap.Service.Clock.Now()
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		for _, wv := range rd.Waves() {
 			list = append(list, waveStatus(wv, now))
 		}
@@ -184,7 +184,7 @@
 	return list, nil
 }
 
-func waveStatus(wv *machine.Wave, now time.Time) operator.WaveStatus {
+func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
 		Name: wv.Name, State: wv.State, Todo: len(wv.Todo), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
 		Active: names(wv.Active), Stuck: names(wv.Stuck),
@@ -263,7 +263,7 @@
 
 func (ap *API) usage(context.Context, echo.Context) (any, error) {
 	var ans operator.UsageAnswer
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans = operator.UsageAnswer{Index: rd.Index(), Lines: rd.Usage()}
 	})
 	return ans, nil
--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -16,7 +16,7 @@
 	"greengageweir/internal/control/registry"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/maintenance/wave"
 
@@ -34,7 +34,7 @@
 
 // Reconciler works while this process leads. Set the exported fields before Run.
 type Reconciler struct {
-	Machine  *machine.Machine
+	Machine  *fsm.Machine
 	Registry *registry.Registry
 	Platform weir.Platform
 	Clock    weir.Clock
@@ -84,7 +84,7 @@
 	var steps []command.Command
 	var drained []view.Member
 	var silent []command.Status
-	rc.Machine.Read(func(rd machine.Reader) {
+	rc.Machine.Read(func(rd fsm.Reader) {
 		silent = rc.silent(rd, now)
 		steps = wave.Next(rd, rc.evidence(rd, now), now)
 		for _, mem := range rd.Members() {
@@ -106,7 +106,7 @@
 
 // silent returns the instances whose entry instance is not heard: they count
 // as not available until it reports again.
-func (rc *Reconciler) silent(rd machine.Reader, now time.Time) []command.Status {
+func (rc *Reconciler) silent(rd fsm.Reader, now time.Time) []command.Status {
 	var list []command.Status
 	for _, sta := range rd.Statuses() {
 		if sta.Up && !rc.Registry.IsHeard(now, sta.Entry) {
@@ -118,7 +118,7 @@
 }
 
 // evidence notes since when returning instances are up.
-func (rc *Reconciler) evidence(rd machine.Reader, now time.Time) wave.Evidence {
+func (rc *Reconciler) evidence(rd fsm.Reader, now time.Time) wave.Evidence {
 	ev := wave.Evidence{UpSince: map[weir.InstanceID]time.Time{}}
 	for id, mem := range rd.Members() {
 		sta := rd.Statuses()[id]
--- a/internal/control/serve/report.go
+++ b/internal/control/serve/report.go
@@ -6,7 +6,7 @@
 
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	weir "greengageweir"
 )
@@ -44,7 +44,7 @@
 // register makes an entry instance known on its first report.
 func (sv *Service) register(ctx context.Context, rep peerapi.Report, now time.Time) error {
 	known := false
-	sv.Machine.Read(func(rd machine.Reader) { _, known = rd.Processes()[rep.Entry] })
+	sv.Machine.Read(func(rd fsm.Reader) { _, known = rd.Processes()[rep.Entry] })
 	if known {
 		return nil
 	}
@@ -57,7 +57,7 @@
 func (sv *Service) changed(rep peerapi.Report) []command.Status {
 	var items []command.Status
 	named := make(map[weir.InstanceID]bool, len(rep.Statuses))
-	sv.Machine.Read(func(rd machine.Reader) {
+	sv.Machine.Read(func(rd fsm.Reader) {
 		for _, sta := range rep.Statuses {
 			named[sta.Instance] = true
 			if rd.Statuses()[sta.Instance] != sta {
--- a/internal/control/serve/service.go
+++ b/internal/control/serve/service.go
@@ -16,7 +16,7 @@
 	"greengageweir/internal/control/registry"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/state/node"
@@ -42,7 +42,7 @@
 type Service struct {
 	Self     string
 	Node     *node.Node
-	Machine  *machine.Machine
+	Machine  *fsm.Machine
 	Hub      *hub.Hub
 	Registry *registry.Registry
 	Links    *links.Links
@@ -128,7 +128,7 @@
 		err := sv.atLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
 		return list, err
 	}
-	sv.Machine.Read(func(rd machine.Reader) {
+	sv.Machine.Read(func(rd fsm.Reader) {
 		list = sv.Registry.Processes(sv.Clock.Now(), rd.Processes())
 	})
 	return list, nil
@@ -148,7 +148,7 @@
 	defer ticker.Stop()
 	for {
 		var index uint64
-		sv.Machine.Read(func(rd machine.Reader) { index = rd.Index() })
+		sv.Machine.Read(func(rd fsm.Reader) { index = rd.Index() })
 		if index >= ans.Index {
 			return nil
 		}
--- a/internal/fleet/machine/config.go
+++ b/internal/fleet/fsm/config.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"greengageweir/internal/fleet/command"
--- a/internal/fleet/machine/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -8,7 +8,7 @@
 //	mc := machine.New(publish)
 //	answer := mc.Apply(index, data).(command.Answer)
 //	vw := mc.View()
-package machine
+package fsm
 
 import (
 	"encoding/json"
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 
 	weir "greengageweir"
@@ -36,7 +36,7 @@
 }
 
 // Next returns the commands to propose now.
-func Next(rd machine.Reader, ev Evidence, now time.Time) []command.Command {
+func Next(rd fsm.Reader, ev Evidence, now time.Time) []command.Command {
 	pl := &planner{rd: rd, ev: ev, now: now, headroom: map[weir.PoolName]int{}}
 	for _, pool := range rd.Pools() {
 		pl.headroom[pool.Name] = rd.Headroom(pool.Name)
@@ -51,7 +51,7 @@
 }
 
 type planner struct {
-	rd       machine.Reader
+	rd       fsm.Reader
 	ev       Evidence
 	now      time.Time
 	headroom map[weir.PoolName]int
@@ -106,7 +106,7 @@
 func (pl *planner) waveGoesOn(name string) bool {
 	for _, wv := range pl.rd.Waves() {
 		if wv.Name == name {
-			return wv.State == machine.WaveRunning
+			return wv.State == fsm.WaveRunning
 		}
 	}
 	return false
@@ -152,8 +152,8 @@
 // grant proposes permits while the wave and the budgets allow more. Instances
 // of pools with the most headroom go first, so that one tight pool does not
 // hold up the wave.
-func (pl *planner) grant(wv *machine.Wave) {
-	if wv.State != machine.WaveRunning {
+func (pl *planner) grant(wv *fsm.Wave) {
+	if wv.State != fsm.WaveRunning {
 		return
 	}
 	room := wv.MaxParallel - len(wv.Active)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (pl *planner) candidates(wv *machine.Wave) []weir.InstanceID {
+func (pl *planner) candidates(wv *fsm.Wave) []weir.InstanceID {
 	ids := make([]weir.InstanceID, 0, len(wv.Todo))
 	for id := range wv.Todo {
 		mem, ok := pl.rd.Members()[id]
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -10,7 +10,7 @@
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/command"
-	fleet "greengageweir/internal/fleet/machine"
+	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
--- a/internal/standin/slopes/measure_control.go
+++ b/internal/standin/slopes/measure_control.go
@@ -7,7 +7,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/fleet/command"
-	fleet "greengageweir/internal/fleet/machine"
+	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/maintenance/wave"
 )
--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -18,7 +18,7 @@
 	"text/tabwriter"
 	"time"
 
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/standin/load"
 	"greengageweir/internal/standin/worker"
 
@@ -47,8 +47,8 @@
 	// Reasons counts why requests got no whole answer in the end.
 	Reasons map[string]int
 
-	Ran       machine.Totals
-	Reported  machine.Totals
+	Ran       fsm.Totals
+	Reported  fsm.Totals
 	HaveUsage bool
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Compare compares results and usage with what ran.
-func Compare(results []load.Result, runs []worker.Run, usage []machine.UsageLine) Report {
+func Compare(results []load.Result, runs []worker.Run, usage []fsm.UsageLine) Report {
 	rep := Report{Requests: len(results), HaveUsage: usage != nil, Reasons: map[string]int{}}
 	counts := map[string]int{}
 	for _, rn := range runs {
