--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -52,7 +52,7 @@
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(tc.Port+ix))
 		ann := jobapi.Announcement{Worker: store.Worker{
 			ID: weir.InstanceID(fmt.Sprintf("%s-%d", tc.Pool, ix)), Born: clock.Wall{}.Now().UnixMilli(), Pool: weir.PoolName(tc.Pool),
-			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Room: spec.Resources{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
+			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Capacity: spec.Resources{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
 		}}
 		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Born, Clock: clock.System{}}
 		steps = append(steps,
--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -127,7 +127,7 @@
 	largest := 0
 	rd.EachWorker(func(wk store.Worker) {
 		ld := loads[wk.Pool]
-		ld.PerMachine = max(ld.PerMachine, wk.Room.MilliCPU)
+		ld.PerMachine = max(ld.PerMachine, wk.Capacity.MilliCPU)
 		largest = max(largest, ld.PerMachine)
 		loads[wk.Pool] = ld
 	})
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -269,9 +269,9 @@
 		if hl.resting(now) {
 			continue
 		}
-		pw := plan.Worker{ID: id, Born: wk.Born, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Room, Suspect: hl.suspect(now)}
+		pw := plan.Worker{ID: id, Born: wk.Born, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
-		pw.Free, pw.Serving, pw.Filling = wk.Room.Minus(load.Used), load.Serving, load.Filling
+		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.Filling
 		workers = append(workers, pw)
 	}
 	return workers
