--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -122,7 +122,7 @@
 		}
 		return ho.service.Handle(ctx, in), nil
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
 // formatFirst makes the seeds of the first start the first voters. Whoever
--- a/internal/control/serve/service.go
+++ b/internal/control/serve/service.go
@@ -81,7 +81,7 @@
 	case peerapi.ControlProcesses:
 		return sv.Processes(ctx)
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
 // Leads reports whether this process is the leader as far as it knows.
--- a/internal/entry/relay/relay_test.go
+++ b/internal/entry/relay/relay_test.go
@@ -28,7 +28,7 @@
 	ho := &holder{}
 	sv := &peer.Server{Addr: "127.0.0.1:0", Token: testToken, Handle: func(ctx context.Context, call peer.Call) (any, error) {
 		if call.Method != jobapi.Method {
-			return nil, peer.Unknown(call.Method)
+			return nil, peer.MethodNotFound(call.Method)
 		}
 		ho.calls.Add(1)
 		return answer(ctx)
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -101,7 +101,7 @@
 		}
 		return sv.Store.Dump(du.After), nil
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
 const (
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -89,8 +89,8 @@
 // goroutine and must not block.
 type Handler func(ctx context.Context, call Call) (any, error)
 
-// Unknown returns the error for a method that a process does not have.
-func Unknown(method string) error {
+// MethodNotFound returns the error for a method that a process does not have.
+func MethodNotFound(method string) error {
 	return &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + method}
 }
 
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -50,7 +50,7 @@
 
 func echo(_ context.Context, call Call) (any, error) {
 	if call.Method != "echo" {
-		return nil, Unknown(call.Method)
+		return nil, MethodNotFound(call.Method)
 	}
 	var text string
 	if err := call.Decode(&text); err != nil {
