--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -133,10 +133,10 @@
 	return pr
 }
 
-func (ec *entryCommand) sites() []ledger.Site {
-	sites := make([]ledger.Site, 0, len(ec.peers))
+func (ec *entryCommand) sites() []ledger.EntryInstance {
+	sites := make([]ledger.EntryInstance, 0, len(ec.peers))
 	for _, pe := range ec.peers {
-		sites = append(sites, ledger.Site{Entry: pe.ID, Zone: pe.Zone})
+		sites = append(sites, ledger.EntryInstance{Entry: pe.ID, Zone: pe.Zone})
 	}
 	return sites
 }
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -41,7 +41,7 @@
 type Dispatcher struct {
 	Self  string
 	Zone  weir.Zone
-	Sites []ledger.Site
+	Sites []ledger.EntryInstance
 	Table *placement.Table
 	Mesh  Mesh
 	Store *ledger.Store
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -26,8 +26,8 @@
 	Call(ctx context.Context, entry, method string, params, result any) error
 }
 
-// Site is an entry instance and its zone.
-type Site struct {
+// EntryInstance is an entry instance and its zone.
+type EntryInstance struct {
 	Entry string
 	Zone  weir.Zone
 }
@@ -35,8 +35,8 @@
 // Replicas returns the entry instances that keep the ledger of a zone: up to
 // three, first those of the zone, then those of the zones that follow in
 // order. It depends on the settings only, never on who is alive.
-func Replicas(sites []Site, zone weir.Zone) []string {
-	sorted := append([]Site{}, sites...)
+func Replicas(sites []EntryInstance, zone weir.Zone) []string {
+	sorted := append([]EntryInstance{}, sites...)
 	sort.Slice(sorted, func(a, b int) bool {
 		if sorted[a].Zone != sorted[b].Zone {
 			return after(sorted[a].Zone, zone, sorted[b].Zone)
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -124,7 +124,7 @@
 }
 
 func TestReplicasDependOnSettingsOnly(t *testing.T) {
-	sites := []Site{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
+	sites := []EntryInstance{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
 	require.Equal(t, []string{"a1", "a2", "b1"}, Replicas(sites, "a"))
 	require.Equal(t, []string{"b1", "b2", "c1"}, Replicas(sites, "b"))
 	require.Equal(t, []string{"c1", "a1", "a2"}, Replicas(sites, "c"))
