--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -8,7 +8,7 @@
 	"greengageweir/internal/control/operatorapi"
 	"greengageweir/internal/control/reconcile"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/control/serve"
+	"greengageweir/internal/control/rpc"
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/ops"
@@ -94,7 +94,7 @@
 		ID: cc.ID, Members: cc.memberIDs(), Dir: cc.DataDir, Machine: mc, Send: mbl.Send, Clock: clk,
 		Logger: kt.logger, Heartbeat: cc.Heartbeat, Election: cc.Election,
 	}
-	sv := &serve.Service{Self: cc.ID, Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: mbl, Clock: clk}
+	sv := &rpc.Service{Self: cc.ID, Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: mbl, Clock: clk}
 	api := &operatorapi.API{Service: sv}
 	dump := func() any {
 		st := controlState{Log: nd.Status(), Subscribers: hb.Subscribers()}
@@ -103,7 +103,7 @@
 	}
 	ready := func() error {
 		if nd.Status().Leader == "" {
-			return &serve.Error{Op: "ready", Kind: serve.KindNoLeader}
+			return &rpc.Error{Op: "ready", Kind: rpc.KindNoLeader}
 		}
 		return nil
 	}
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -16,7 +16,7 @@
 
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/control/serve"
+	"greengageweir/internal/control/rpc"
 	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
@@ -30,7 +30,7 @@
 
 // API serves operators.
 type API struct {
-	Service *serve.Service
+	Service *rpc.Service
 }
 
 // Routes adds the interface's routes.
--- a/internal/control/serve/report.go
+++ b/internal/control/rpc/report.go
@@ -1,4 +1,4 @@
-package serve
+package rpc
 
 import (
 	"context"
--- a/internal/control/serve/service.go
+++ b/internal/control/rpc/service.go
@@ -5,7 +5,7 @@
 //
 //	sv := &serve.Service{Self: "c1", Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: links, Clock: clk}
 //	server := &peer.Server{Addr: addr, Token: token, Handle: sv.Handle, Gone: hb.Gone}
-package serve
+package rpc
 
 import (
 	"context"
