--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -156,7 +156,7 @@
 			if cpu > ld.PerMachine {
 				continue // no machine can run it
 			}
-			if step.Lasting {
+			if step.LongRunning {
 				ld.Lasting += cpu * step.Count
 				ld.Spread = max(ld.Spread, step.Spread())
 				continue
--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -69,7 +69,7 @@
 		switch {
 		case step.Filling:
 			filling = append(filling, rt.RunKey)
-		case step.Lasting && step.Target > 0:
+		case step.LongRunning && step.Target > 0:
 			worst = max(worst, rt.Rough/float64(step.Target.Milliseconds()))
 		}
 	}
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -152,7 +152,7 @@
 	left := false
 	for key := range rd.Runs(id) {
 		step := rd.Job(key.Task.Job).Spec.Steps[key.Task.Step]
-		if step.Checkpointing && !step.Lasting {
+		if step.Checkpointing && !step.LongRunning {
 			ow.evict(re, id, key)
 			left = true
 		}
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -89,8 +89,8 @@
 	MaxPerWorker int `json:"maxPerWorker,omitempty"`
 	// Copies allows a task to run more than once at a time.
 	Copies bool `json:"copies,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
 	// Target is the response time that a lasting task's users want.
@@ -153,7 +153,7 @@
 // Lasting reports whether the job runs until it is cancelled.
 func (jb Job) Lasting() bool {
 	for _, st := range jb.Steps {
-		if st.Lasting {
+		if st.LongRunning {
 			return true
 		}
 	}
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -174,10 +174,10 @@
 	switch {
 	case step.Filling:
 		wl.Filling += count
-	case step.Lasting:
+	case step.LongRunning:
 		wl.Serving += count
 	}
-	if step.Lasting {
+	if step.LongRunning {
 		wl.Lasting += count
 	} else {
 		wl.Ending += count
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -292,9 +292,9 @@
 	switch {
 	case tk.Done:
 		// Another member's end stood for the whole gang.
-	case en.How == EndDone && !step.Lasting:
+	case en.How == EndDone && !step.LongRunning:
 		st.taskDone(at, js, en.Task, tk, step)
-	case en.How == EndFailed && !step.Lasting:
+	case en.How == EndFailed && !step.LongRunning:
 		st.taskFailed(at, js, en, tk, step)
 	}
 	st.settle(js)
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -129,7 +129,7 @@
 	}
 	require.Equal(t, Failed, fx.phase("a"))
 
-	fx.submit("lasting", spec.Step{Count: 1, Lasting: true})
+	fx.submit("lasting", spec.Step{Count: 1, LongRunning: true})
 	for run := 1; run <= 5; run++ {
 		fx.taken(start("lasting", 0, 0, run, 0))
 		fx.taken(end("lasting", 0, 0, run, EndFailed))
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/plan/plan.go
@@ -110,9 +110,9 @@
 // and a job that has missed its objective must not make others miss theirs.
 func (gr Group) class(now time.Time) int {
 	switch {
-	case gr.Spec.Lasting && !gr.Spec.Filling:
+	case gr.Spec.LongRunning && !gr.Spec.Filling:
 		return 0
-	case gr.Spec.Lasting:
+	case gr.Spec.LongRunning:
 		return 1
 	case !gr.StartBy.Before(now):
 		return 2 + gr.Priority
@@ -167,7 +167,7 @@
 	switch {
 	case st.Filling:
 		wk.Filling++
-	case st.Lasting:
+	case st.LongRunning:
 		wk.Serving++
 	}
 }
@@ -261,7 +261,7 @@
 // together keeps lasting tasks of one step apart, since a worker's maintenance
 // takes all of them away at once.
 func (gr Group) together(on map[weir.InstanceID]int, one, other *Worker) int {
-	if !gr.Spec.Lasting {
+	if !gr.Spec.LongRunning {
 		return 0
 	}
 	return cmp.Compare(on[one.ID], on[other.ID])
@@ -270,7 +270,7 @@
 // crowds reports whether one more task on a worker that holds some of its step
 // is one too many for the worker's maintenance.
 func (gr Group) crowds(held int) bool {
-	return gr.Spec.Lasting && gr.Spec.MaxAway > 0 && held >= gr.Spec.MaxAway
+	return gr.Spec.LongRunning && gr.Spec.MaxAway > 0 && held >= gr.Spec.MaxAway
 }
 
 // waits reports whether a task has not waited long for a better worker. A time
@@ -288,7 +288,7 @@
 	switch {
 	case gr.Spec.Filling:
 		return cmp.Compare(one.Serving, other.Serving)
-	case gr.Spec.Lasting:
+	case gr.Spec.LongRunning:
 		return cmp.Compare(one.Filling, other.Filling)
 	}
 	return 0
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -243,7 +243,7 @@
 	var out []*spec.Job
 	for ix := range po.Lasting {
 		out = append(out, &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-lasting-%d", po.Name, ix)), Text: "play", Steps: []spec.Step{{
-			Count: po.LastingWidth, Resources: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, Lasting: true,
+			Count: po.LastingWidth, Resources: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, LongRunning: true,
 			MaxPerWorker: 1, MaxAway: 1,
 		}}})
 	}
