--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -81,7 +81,7 @@
 func (cl *Client) beat(ctx context.Context, conn *jsonrpc2.Conn) {
 	every := cl.BeatEvery
 	if every == 0 {
-		every = BeatEvery
+		every = HeartbeatInterval
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -42,8 +42,8 @@
 const (
 	// ProtocolVersion is sent in each greeting.
 	ProtocolVersion = 1
-	// BeatEvery is the time between heartbeats of a link.
-	BeatEvery = 300 * time.Millisecond
+	// HeartbeatInterval is the time between heartbeats of a link.
+	HeartbeatInterval = 300 * time.Millisecond
 	// SilentAfter is the time after which a link without an answer is closed.
 	SilentAfter = 1500 * time.Millisecond
 
