--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -104,7 +104,7 @@
 		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
 	}
 	dp := &dispatch.Dispatcher{
-		Self: ec.ID, Zone: zone, Sites: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
+		Self: ec.ID, Zone: zone, Entries: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
 	}
 	pr.front = &callerapi.Server{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -39,13 +39,13 @@
 
 // Dispatcher implements weir.Dispatcher. Set the exported fields first.
 type Dispatcher struct {
-	Self  string
-	Zone  weir.Zone
-	Sites []ledger.EntryInstance
-	Table *placement.Table
-	Mesh  Mesh
-	Store *ledger.Store
-	Clock weir.Clock
+	Self    string
+	Zone    weir.Zone
+	Entries []ledger.EntryInstance
+	Table   *placement.Table
+	Mesh    Mesh
+	Store   *ledger.Store
+	Clock   weir.Clock
 
 	mu      sync.Mutex
 	flights map[string]*flight
@@ -140,7 +140,7 @@
 func (dp *Dispatcher) zones() []weir.Zone {
 	seen := map[weir.Zone]bool{}
 	var zones []weir.Zone
-	for _, si := range dp.Sites {
+	for _, si := range dp.Entries {
 		if !seen[si.Zone] {
 			seen[si.Zone] = true
 			zones = append(zones, si.Zone)
@@ -153,7 +153,7 @@
 // choice first.
 func (dp *Dispatcher) leaders(zone weir.Zone, key string) []string {
 	var ids []string
-	for _, si := range dp.Sites {
+	for _, si := range dp.Entries {
 		if si.Zone == zone {
 			ids = append(ids, si.Entry)
 		}
@@ -276,7 +276,7 @@
 		return gr.(*ledger.Group) // only groups are stored
 	}
 	gr := &ledger.Group{
-		Self: dp.Self, Store: dp.Store, Replicas: ledger.Replicas(dp.Sites, zone), Caller: dp.Mesh, Clock: dp.Clock,
+		Self: dp.Self, Store: dp.Store, Replicas: ledger.Replicas(dp.Entries, zone), Caller: dp.Mesh, Clock: dp.Clock,
 	}
 	dp.groups.Store(zone, gr)
 	return gr
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -83,7 +83,7 @@
 		fm.stores[id] = ledger.NewStore(old, 10*time.Minute, 100)
 	}
 	return &rig{mesh: fm, Dispatcher: &Dispatcher{
-		Self: "a1", Zone: "a", Sites: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
+		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
 		Table: tb, Mesh: fm, Store: fm.stores["a1"], Clock: clk,
 	}}
 }
