--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -150,8 +150,8 @@
 	return jb.StartAt.Add(time.Duration(occurrence) * jb.Every)
 }
 
-// Lasting reports whether the job runs until it is cancelled.
-func (jb Job) Lasting() bool {
+// LongRunning reports whether the job runs until it is cancelled.
+func (jb Job) LongRunning() bool {
 	for _, st := range jb.Steps {
 		if st.LongRunning {
 			return true
