--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -21,8 +21,8 @@
 	Addr  string
 	Token string
 	Self  Identity
-	// BeatEvery is the time between heartbeats; zero is the package's.
-	BeatEvery time.Duration
+	// HeartbeatInterval is the time between heartbeats; zero is the package's.
+	HeartbeatInterval time.Duration
 	// Handle answers notifications that the server sends; it may be nil.
 	Handle Handler
 
@@ -79,7 +79,7 @@
 
 // beat sends heartbeats until one is not answered in time.
 func (cl *Client) beat(ctx context.Context, conn *jsonrpc2.Conn) {
-	every := cl.BeatEvery
+	every := cl.HeartbeatInterval
 	if every == 0 {
 		every = HeartbeatInterval
 	}
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -106,11 +106,11 @@
 		return
 	}
 	mb := &member{
-		calls: &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, BeatEvery: beatEvery},
+		calls: &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery},
 		ring:  make(chan replica.Message, ringSlots),
 	}
 	if !ls.NoRaft {
-		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, BeatEvery: beatEvery}
+		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery}
 	}
 	ls.members[id] = mb
 	if ls.ctx != nil && ls.ctx.Err() == nil {
