--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -110,7 +110,7 @@
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
-	sv := &serve.Service{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
+	sv := &serve.PeerHandler{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
 	pr.steps = []weir.Component{
 		&ops.Server{
 			Addr: ec.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -38,8 +38,8 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Service answers the other entry instances. Set the exported fields first.
-type Service struct {
+// PeerHandler answers the other entry instances. Set the exported fields first.
+type PeerHandler struct {
 	Dispatcher *dispatch.Dispatcher
 	Table      *placement.Table
 	Store      *ledger.Store
@@ -48,7 +48,7 @@
 }
 
 // Handle implements peer.Handler.
-func (sv *Service) Handle(ctx context.Context, call peer.Call) (any, error) {
+func (sv *PeerHandler) Handle(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.EntryCall:
 		var params dispatch.CallParams
@@ -73,7 +73,7 @@
 	return sv.handleLedger(ctx, call)
 }
 
-func (sv *Service) handleLedger(ctx context.Context, call peer.Call) (any, error) {
+func (sv *PeerHandler) handleLedger(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.LedgerReserve:
 		var res peerapi.Reserve
