--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -67,7 +67,7 @@
 		}
 		step := js.Spec.Steps[rt.Task.Step]
 		switch {
-		case step.Filling:
+		case step.BestEffort:
 			filling = append(filling, rt.RunKey)
 		case step.LongRunning && step.Target > 0:
 			worst = max(worst, rt.Rough/float64(step.Target.Milliseconds()))
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -95,9 +95,9 @@
 	Image string `json:"image,omitempty"`
 	// Target is the response time that a lasting task's users want.
 	Target time.Duration `json:"target,omitempty"`
-	// Filling tasks use the processor that others leave; their MilliCPU does
+	// BestEffort tasks use the processor that others leave; their MilliCPU does
 	// not count against a worker.
-	Filling bool `json:"filling,omitempty"`
+	BestEffort bool `json:"filling,omitempty"`
 	// MaxAway bounds the lasting tasks that planned work may make unavailable
 	// at a time; 0 is no bound.
 	MaxAway int `json:"maxAway,omitempty"`
@@ -105,7 +105,7 @@
 
 // Counted is the need that counts against a worker's room.
 func (st Step) Counted() Resources {
-	if st.Filling {
+	if st.BestEffort {
 		return Resources{MemoryMB: st.Resources.MemoryMB, GPU: st.Resources.GPU}
 	}
 	return st.Resources
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -172,7 +172,7 @@
 	need := step.Counted()
 	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
-	case step.Filling:
+	case step.BestEffort:
 		wl.Filling += count
 	case step.LongRunning:
 		wl.Serving += count
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/plan/plan.go
@@ -110,7 +110,7 @@
 // and a job that has missed its objective must not make others miss theirs.
 func (gr Group) class(now time.Time) int {
 	switch {
-	case gr.Spec.LongRunning && !gr.Spec.Filling:
+	case gr.Spec.LongRunning && !gr.Spec.BestEffort:
 		return 0
 	case gr.Spec.LongRunning:
 		return 1
@@ -165,7 +165,7 @@
 func (wk *Worker) take(st spec.Step) {
 	wk.Free = wk.Free.Minus(st.Counted())
 	switch {
-	case st.Filling:
+	case st.BestEffort:
 		wk.Filling++
 	case st.LongRunning:
 		wk.Serving++
@@ -286,7 +286,7 @@
 // disturbance keeps tasks that fill away from tasks that serve.
 func (gr Group) disturbance(one, other *Worker) int {
 	switch {
-	case gr.Spec.Filling:
+	case gr.Spec.BestEffort:
 		return cmp.Compare(one.Serving, other.Serving)
 	case gr.Spec.LongRunning:
 		return cmp.Compare(one.Filling, other.Filling)
--- a/internal/schedule/plan/plan_test.go
+++ b/internal/schedule/plan/plan_test.go
@@ -137,7 +137,7 @@
 			map[string]int{"a on w2": 1},
 		},
 		"tasks that fill take no processor, and keep away from those that serve": {
-			[]Group{group("a", spec.Step{Count: 2, Resources: cores(8), Filling: true, LongRunning: true})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(8), BestEffort: true, LongRunning: true})},
 			[]Worker{worker("w1", 1), worker("w2", 1), func() Worker { wk := worker("w3", 64); wk.Serving = 1; return wk }()},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
