--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -100,7 +100,7 @@
 }
 
 func timedCall(ctx context.Context, conn *jsonrpc2.Conn, method string, params any) error {
-	ctx, cancel := context.WithTimeout(ctx, SilentAfter)
+	ctx, cancel := context.WithTimeout(ctx, LinkTimeout)
 	defer cancel()
 	return conn.Call(ctx, method, params, nil)
 }
--- a/internal/link/peer/guard.go
+++ b/internal/link/peer/guard.go
@@ -15,7 +15,7 @@
 
 // Read implements net.Conn with a deadline per read.
 func (gc *guardedConn) Read(buf []byte) (int, error) {
-	if err := gc.Conn.SetReadDeadline(time.Now().Add(SilentAfter)); err != nil { //nolint:forbidigo // socket deadline
+	if err := gc.Conn.SetReadDeadline(time.Now().Add(LinkTimeout)); err != nil { //nolint:forbidigo // socket deadline
 		return 0, err
 	}
 	return gc.Conn.Read(buf)
@@ -23,7 +23,7 @@
 
 // Write implements net.Conn with a deadline per write.
 func (gc *guardedConn) Write(buf []byte) (int, error) {
-	if err := gc.Conn.SetWriteDeadline(time.Now().Add(SilentAfter)); err != nil { //nolint:forbidigo // socket deadline
+	if err := gc.Conn.SetWriteDeadline(time.Now().Add(LinkTimeout)); err != nil { //nolint:forbidigo // socket deadline
 		return 0, err
 	}
 	return gc.Conn.Write(buf)
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -44,8 +44,8 @@
 	ProtocolVersion = 1
 	// HeartbeatInterval is the time between heartbeats of a link.
 	HeartbeatInterval = 300 * time.Millisecond
-	// SilentAfter is the time after which a link without an answer is closed.
-	SilentAfter = 1500 * time.Millisecond
+	// LinkTimeout is the time after which a link without an answer is closed.
+	LinkTimeout = 1500 * time.Millisecond
 
 	methodHello = "link.hello"
 	methodBeat  = "link.beat"
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -39,7 +39,7 @@
 // beatEvery is the time between heartbeats of a link: two fit into the time
 // after which a link counts as silent. With 45 entry instances and five
 // members, beats are a sixth of all that a follower handles.
-const beatEvery = peer.SilentAfter / 2
+const beatEvery = peer.LinkTimeout / 2
 
 // Links are the links to the other processes. Set the exported fields before
 // Run.
