--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -126,7 +126,7 @@
 			Self: ec.ID, Zone: zone, Started: clk.Now().UTC().Round(time.Millisecond), Table: pr.table,
 			Control: pr.follower, Clock: clk, Logger: kt.logger,
 		},
-		&serve.Announcements{Addr: ec.EndpointAddr, Table: pr.table},
+		&serve.AnnouncementServer{Addr: ec.EndpointAddr, Table: pr.table},
 		&run.Func{Name: "drainer", Do: pr.drain},
 		pr.front,
 	}
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -109,9 +109,9 @@
 	stopPatience    = time.Second
 )
 
-// Announcements is the endpoints' listener. Set the exported fields before
+// AnnouncementServer is the endpoints' listener. Set the exported fields before
 // Run.
-type Announcements struct {
+type AnnouncementServer struct {
 	Addr  string
 	Table *placement.Table
 
@@ -120,10 +120,10 @@
 }
 
 // String is the step's name in logs.
-func (an *Announcements) String() string { return "endpoints' server" }
+func (an *AnnouncementServer) String() string { return "endpoints' server" }
 
 // Default opens the listener.
-func (an *Announcements) Default() error {
+func (an *AnnouncementServer) Default() error {
 	lis, err := net.Listen("tcp", an.Addr)
 	if err != nil {
 		return &Error{Op: "endpoints' server", Kind: KindListen, Err: err}
@@ -137,14 +137,14 @@
 }
 
 // Address returns the address that is listened on.
-func (an *Announcements) Address() string { return an.listener.Addr().String() }
+func (an *AnnouncementServer) Address() string { return an.listener.Addr().String() }
 
 // Run serves until the context ends.
-func (an *Announcements) Run(ctx context.Context) error {
+func (an *AnnouncementServer) Run(ctx context.Context) error {
 	return ops.Serve(ctx, an.server, an.listener, stopPatience)
 }
 
-func (an *Announcements) announce(ctx echo.Context) error {
+func (an *AnnouncementServer) announce(ctx echo.Context) error {
 	var ann endpoint.Announcement
 	if err := ctx.Bind(&ann); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -19,7 +19,7 @@
 // serveAnnouncements starts the endpoints' server of an entry instance with a
 // fleet of a size, and a client of it.
 func (ms *measurer) serveAnnouncements(size int) (client *worker.Announcer, stop context.CancelFunc) {
-	an := &serve.Announcements{Addr: "127.0.0.1:0", Table: ms.tableOf(size)}
+	an := &serve.AnnouncementServer{Addr: "127.0.0.1:0", Table: ms.tableOf(size)}
 	ms.check(an.Default())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = an.Run(ctx) }()
