--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -45,7 +45,7 @@
 		require.True(t, ok)
 		require.True(t, answers[0].Taken, answers[0].Reason)
 	}
-	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, LongRunning: true, MaxAway: 1}}}})
+	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, LongRunning: true, MaxUnavailable: 1}}}})
 	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, evicted: map[weir.RunKey]bool{}, machines: newMachineDuty(0)}
 	for ix := range 3 {
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -193,13 +193,13 @@
 	steps := map[weir.TaskRef]int{}
 	for key := range rd.Runs(id) {
 		js := rd.Job(key.Task.Job)
-		if !js.Phase.Over() && js.Spec.Steps[key.Task.Step].MaxAway > 0 {
+		if !js.Phase.Over() && js.Spec.Steps[key.Task.Step].MaxUnavailable > 0 {
 			steps[key.Task.StepRef()]++
 		}
 	}
 	for ref, here := range steps {
 		away = here - 1 + ow.away(re, rd, id, ref)
-		if away >= rd.Job(ref.Job).Spec.Steps[ref.Step].MaxAway {
+		if away >= rd.Job(ref.Job).Spec.Steps[ref.Step].MaxUnavailable {
 			return &ref, away
 		}
 	}
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -98,9 +98,9 @@
 	// BestEffort tasks use the processor that others leave; their MilliCPU does
 	// not count against a worker.
 	BestEffort bool `json:"filling,omitempty"`
-	// MaxAway bounds the lasting tasks that planned work may make unavailable
+	// MaxUnavailable bounds the lasting tasks that planned work may make unavailable
 	// at a time; 0 is no bound.
-	MaxAway int `json:"maxAway,omitempty"`
+	MaxUnavailable int `json:"maxAway,omitempty"`
 }
 
 // Counted is the need that counts against a worker's room.
@@ -115,8 +115,8 @@
 // each worker may go without more tasks away than allowed; 0 is no wish.
 func (st Step) Spread() int {
 	most := st.MaxPerWorker
-	if st.MaxAway > 0 && (most == 0 || st.MaxAway < most) {
-		most = st.MaxAway
+	if st.MaxUnavailable > 0 && (most == 0 || st.MaxUnavailable < most) {
+		most = st.MaxUnavailable
 	}
 	if most == 0 {
 		return 0
@@ -197,7 +197,7 @@
 		return invalid("step %d has %d tasks", ix, st.Count)
 	case st.Resources.MilliCPU < 0 || st.Resources.MemoryMB < 0 || st.Resources.GPU < 0:
 		return invalid("step %d has a negative need", ix)
-	case st.MaxPerWorker < 0 || st.MaxAway < 0:
+	case st.MaxPerWorker < 0 || st.MaxUnavailable < 0:
 		return invalid("step %d has a negative limit", ix)
 	}
 	for _, before := range st.After {
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/plan/plan.go
@@ -270,7 +270,7 @@
 // crowds reports whether one more task on a worker that holds some of its step
 // is one too many for the worker's maintenance.
 func (gr Group) crowds(held int) bool {
-	return gr.Spec.LongRunning && gr.Spec.MaxAway > 0 && held >= gr.Spec.MaxAway
+	return gr.Spec.LongRunning && gr.Spec.MaxUnavailable > 0 && held >= gr.Spec.MaxUnavailable
 }
 
 // waits reports whether a task has not waited long for a better worker. A time
--- a/internal/schedule/plan/plan_test.go
+++ b/internal/schedule/plan/plan_test.go
@@ -79,27 +79,27 @@
 			map[string]int{"first on w1": 1},
 		},
 		"lasting tasks wait for more workers": {
-			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxAway: 1}, waitingFor(time.Second))},
+			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(time.Second))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
 		"lasting tasks do not wait for ever": {
-			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxAway: 1}, waitingFor(spreadPatience))},
+			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(spreadPatience))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 3, "a on w2": 2},
 		},
 		"a clock that was set back ends the wait": {
-			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), LongRunning: true, MaxAway: 1}, waitingFor(-time.Second))},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(-time.Second))},
 			[]Worker{worker("w1", 8)},
 			map[string]int{"a on w1": 2},
 		},
 		"as many as may be away share a worker at once": {
-			[]Group{group("a", spec.Step{Count: 4, Resources: cores(1), LongRunning: true, MaxAway: 2}, waitingFor(0))},
+			[]Group{group("a", spec.Step{Count: 4, Resources: cores(1), LongRunning: true, MaxUnavailable: 2}, waitingFor(0))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 2, "a on w2": 2},
 		},
 		"lasting tasks of a step stay apart": {
-			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), LongRunning: true, MaxAway: 1})},
+			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), LongRunning: true, MaxUnavailable: 1})},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -244,7 +244,7 @@
 	for ix := range po.Lasting {
 		out = append(out, &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-lasting-%d", po.Name, ix)), Text: "play", Steps: []spec.Step{{
 			Count: po.LastingWidth, Resources: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, LongRunning: true,
-			MaxPerWorker: 1, MaxAway: 1,
+			MaxPerWorker: 1, MaxUnavailable: 1,
 		}}})
 	}
 	return out
