--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -25,8 +25,8 @@
 	Handle   Handler
 	Logger   log.Logger
 	MaxLinks int
-	// Gone is called when a link has ended; it may be nil.
-	Gone func(conn *jsonrpc2.Conn)
+	// OnDisconnect is called when a link has ended; it may be nil.
+	OnDisconnect func(conn *jsonrpc2.Conn)
 
 	listener net.Listener
 	links    sync.WaitGroup
@@ -108,8 +108,8 @@
 	case <-ctx.Done():
 		_ = rpc.Close()
 	}
-	if sv.Gone != nil {
-		sv.Gone(rpc)
+	if sv.OnDisconnect != nil {
+		sv.OnDisconnect(rpc)
 	}
 }
 
