--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -111,7 +111,7 @@
 	home := key.Home(dp.zones())
 	for _, id := range dp.leaders(home, req.Key) {
 		if id == dp.Self {
-			return dp.Lead(ctx, req)
+			return dp.RunKeyed(ctx, req)
 		}
 		ans, reached := dp.callHome(ctx, id, req)
 		if reached {
@@ -162,9 +162,9 @@
 	return ids
 }
 
-// Lead claims the key and runs the request, or returns what is recorded. A
+// RunKeyed claims the key and runs the request, or returns what is recorded. A
 // second request with the same key waits for the first.
-func (dp *Dispatcher) Lead(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) RunKeyed(ctx context.Context, req weir.Request) weir.Answer {
 	attempt := dp.Self + "/" + uuid.NewString()
 	fl, first := dp.startFlight(req.Key, attempt)
 	if first {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -106,7 +106,7 @@
 	if req.Key == "" {
 		return rg.Do(context.Background(), req)
 	}
-	return rg.Lead(context.Background(), req)
+	return rg.RunKeyed(context.Background(), req)
 }
 
 func handler(t *testing.T, fn http.HandlerFunc) string {
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -55,7 +55,7 @@
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Lead(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunKeyed(ctx, params.Here(sv.Clock.Now())), nil
 	case peerapi.EntryRun:
 		var params dispatch.CallParams
 		if err := call.Decode(&params); err != nil {
