--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -152,7 +152,7 @@
 		}
 		for sp := range round {
 			step := js.Spec.Steps[sp]
-			cpu := step.Counted().MilliCPU
+			cpu := step.Reserved().MilliCPU
 			if cpu > ld.PerMachine {
 				continue // no machine can run it
 			}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -156,7 +156,7 @@
 				break
 			}
 			for sp := range js.Rounds[oc] {
-				if !js.Spec.Steps[sp].Counted().Fits(room[qu.Pool]) {
+				if !js.Spec.Steps[sp].Reserved().Fits(room[qu.Pool]) {
 					continue
 				}
 				gr, ok := ow.group(re, js, qu, oc, sp)
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -103,8 +103,8 @@
 	MaxUnavailable int `json:"maxAway,omitempty"`
 }
 
-// Counted is the need that counts against a worker's room.
-func (st Step) Counted() Resources {
+// Reserved is the need that counts against a worker's room.
+func (st Step) Reserved() Resources {
 	if st.BestEffort {
 		return Resources{MemoryMB: st.Resources.MemoryMB, GPU: st.Resources.GPU}
 	}
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -169,7 +169,7 @@
 
 // with returns the load with count more runs of a step.
 func (wl WorkerLoad) with(step spec.Step, count int) WorkerLoad {
-	need := step.Counted()
+	need := step.Reserved()
 	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
 	case step.BestEffort:
@@ -250,7 +250,7 @@
 		st.Runs[tk.Worker] = runs
 	}
 	step := js.Spec.Steps[rf.Step]
-	runs[RunKey{Task: rf, Run: tk.Run}] = step.Counted()
+	runs[RunKey{Task: rf, Run: tk.Run}] = step.Reserved()
 	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(step, 1)
 }
 
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/plan/plan.go
@@ -163,7 +163,7 @@
 }
 
 func (wk *Worker) take(st spec.Step) {
-	wk.Free = wk.Free.Minus(st.Counted())
+	wk.Free = wk.Free.Minus(st.Reserved())
 	switch {
 	case st.BestEffort:
 		wk.Filling++
@@ -197,7 +197,7 @@
 
 // holds counts how many more tasks of a step fit.
 func (wk *Worker) holds(st spec.Step) int {
-	need, room, count := st.Counted(), wk.Free, 0
+	need, room, count := st.Reserved(), wk.Free, 0
 	for need.Fits(room) && count < st.Count {
 		room = room.Minus(need)
 		count++
@@ -216,7 +216,7 @@
 	if st.MaxPerWorker > 0 && on[wk.ID] >= st.MaxPerWorker {
 		return false
 	}
-	return st.Counted().Fits(wk.Free)
+	return st.Reserved().Fits(wk.Free)
 }
 
 // choose returns the best worker for a task, nil where there is none.
