--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -54,8 +54,8 @@
 	bufferBytes = 8 << 10
 )
 
-// Field is one header field.
-type Field struct{ Name, Value string }
+// Header is one header field.
+type Header struct{ Name, Value string }
 
 // Request is what is sent to an endpoint.
 type Request struct {
@@ -64,7 +64,7 @@
 	Host string
 	// Path may have a query; it is sent as it is.
 	Path   string
-	Fields []Field
+	Fields []Header
 	Body   []byte
 	// Repeatable requests may be put on a connection that has not proven
 	// itself lately.
