--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -228,10 +228,10 @@
 	}
 }
 
-// Join returns the outcome of an attempt that is in flight here. Only one that
+// AwaitAttempt returns the outcome of an attempt that is in flight here. Only one that
 // has claimed the key can be waited for: two leaders that both lost the claim
 // would else wait for each other.
-func (dp *Dispatcher) Join(ctx context.Context, jo peerapi.Join) weir.Answer {
+func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Answer {
 	dp.mu.Lock()
 	fl, ok := dp.flights[jo.Key]
 	dp.mu.Unlock()
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -276,7 +276,7 @@
 		rg.mu.Lock()
 		ours := rg.flights[req.Key].attempt
 		rg.mu.Unlock()
-		return rg.Join(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
+		return rg.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
 	}
 	answered := make(chan weir.Answer, 1)
 	go func() { answered <- rg.lead(req) }()
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -93,7 +93,7 @@
 		if err := call.Decode(&jo); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Join(ctx, jo), nil
+		return sv.Dispatcher.AwaitAttempt(ctx, jo), nil
 	case peerapi.LedgerDump:
 		var du peerapi.Dump
 		if err := call.Decode(&du); err != nil {
