--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -158,7 +158,7 @@
 			}
 			if step.LongRunning {
 				ld.Lasting += cpu * step.Count
-				ld.Spread = max(ld.Spread, step.Spread())
+				ld.Spread = max(ld.Spread, step.MinWorkers())
 				continue
 			}
 			if fresh {
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -111,9 +111,9 @@
 	return st.Resources
 }
 
-// Spread is the number of workers that the step's tasks should be on, so that
+// MinWorkers is the number of workers that the step's tasks should be on, so that
 // each worker may go without more tasks away than allowed; 0 is no wish.
-func (st Step) Spread() int {
+func (st Step) MinWorkers() int {
 	most := st.MaxPerWorker
 	if st.MaxUnavailable > 0 && (most == 0 || st.MaxUnavailable < most) {
 		most = st.MaxUnavailable
