--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -54,8 +54,8 @@
 	defaultSnapshotEvery = 8192
 )
 
-// Machine is the state machine that committed commands are applied to.
-type Machine interface {
+// StateMachine is the state machine that committed commands are applied to.
+type StateMachine interface {
 	// Apply applies a command and returns its answer.
 	Apply(index uint64, data []byte) any
 	// Skip tells of an index that carries no command.
@@ -71,7 +71,7 @@
 	ID      string
 	Members []string
 	Dir     string
-	Machine Machine
+	Machine StateMachine
 	// Send hands a message to the transport; it must not block.
 	Send          func(msg replica.Message)
 	Clock         weir.Clock
