--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -73,7 +73,7 @@
 	}
 	resp, err := cl.Get(body.Life.Address).Do(ctx, httpconn.Request{
 		Method: http.MethodPost, Path: path, Body: data, Repeatable: true,
-		Fields: []httpconn.Header{{Name: echo.HeaderContentType, Value: echo.MIMEApplicationJSON}},
+		Headers: []httpconn.Header{{Name: echo.HeaderContentType, Value: echo.MIMEApplicationJSON}},
 	})
 	if err != nil {
 		return err
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -39,7 +39,7 @@
 func (dp *Dispatcher) endpointRequest(slot *placement.Slot, req weir.Request) httpconn.Request {
 	out := httpconn.Request{
 		Method: req.Method, Host: string(slot.Instance), Path: req.Path, Body: req.Body, Repeatable: req.Repeatable,
-		Fields: []httpconn.Header{
+		Headers: []httpconn.Header{
 			{Name: endpoint.HeaderLease, Value: slot.Lease.String()},
 			{Name: endpoint.HeaderEntry, Value: dp.Self},
 			{Name: endpoint.HeaderTask, Value: uuid.NewString()},
@@ -48,10 +48,10 @@
 		},
 	}
 	if req.Key != "" {
-		out.Fields = append(out.Fields, httpconn.Header{Name: endpoint.HeaderKey, Value: req.Key})
+		out.Headers = append(out.Headers, httpconn.Header{Name: endpoint.HeaderKey, Value: req.Key})
 	}
 	if req.ContentType != "" {
-		out.Fields = append(out.Fields, httpconn.Header{Name: "Content-Type", Value: req.ContentType})
+		out.Headers = append(out.Headers, httpconn.Header{Name: "Content-Type", Value: req.ContentType})
 	}
 	return out
 }
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -63,9 +63,9 @@
 	// Host names the endpoint; empty stands for the pool's address.
 	Host string
 	// Path may have a query; it is sent as it is.
-	Path   string
-	Fields []Header
-	Body   []byte
+	Path    string
+	Headers []Header
+	Body    []byte
 	// Repeatable requests may be put on a connection that has not proven
 	// itself lately.
 	Repeatable bool
@@ -258,7 +258,7 @@
 		raw.Header.SetHost(pl.addr)
 	}
 	raw.Header.SetNoDefaultContentType(true)
-	for _, fd := range req.Fields {
+	for _, fd := range req.Headers {
 		raw.Header.Set(fd.Name, fd.Value)
 	}
 	raw.SetBodyRaw(req.Body)
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -183,7 +183,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nX-Reason: none\r\nContent-Length: 0\r\n\r\n")
 	})
 	resp, err := NewPool(addr, 1, clock.System{}).Do(context.Background(), Request{
-		Method: http.MethodPut, Path: "/a%20b?c=d", Fields: []Header{{"X-Life", "i-1"}, {"Content-Type", "application/json"}}, Body: []byte("{}"),
+		Method: http.MethodPut, Path: "/a%20b?c=d", Headers: []Header{{"X-Life", "i-1"}, {"Content-Type", "application/json"}}, Body: []byte("{}"),
 	})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNotFound, resp.Status)
