--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -376,8 +376,8 @@
 // ReasonNoSlot is the reason of an entry instance that has no free slot.
 const ReasonNoSlot = "no free slot at this entry instance"
 
-// Run runs a peer's request on a free slot of this instance, if there is one.
-func (dp *Dispatcher) Run(ctx context.Context, req weir.Request) weir.Answer {
+// RunOnFreeSlot runs a peer's request on a free slot of this instance, if there is one.
+func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Answer {
 	slot, err := dp.Table.TryAcquire(&req)
 	if err != nil {
 		return weir.AnswerNotRun(ReasonNoSlot)
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -61,7 +61,7 @@
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Run(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunOnFreeSlot(ctx, params.Here(sv.Clock.Now())), nil
 	case peerapi.EntryAdvert:
 		var ad peerapi.Advert
 		if err := call.Decode(&ad); err != nil {
