--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -87,8 +87,8 @@
 	DataRack string `json:"dataRack,omitempty"`
 	// MaxPerWorker bounds the step's tasks on one worker; 0 is no bound.
 	MaxPerWorker int `json:"maxPerWorker,omitempty"`
-	// Copies allows a task to run more than once at a time.
-	Copies bool `json:"copies,omitempty"`
+	// Speculative allows a task to run more than once at a time.
+	Speculative bool `json:"copies,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave alike.
