--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -91,7 +91,7 @@
 	rg := registry.New()
 	mbl := &links.Links{Self: self, Token: kt.token, Addrs: cc.members, Logger: kt.logger}
 	nd := &node.Node{
-		ID: cc.ID, Members: cc.memberIDs(), Dir: cc.DataDir, Machine: mc, Send: mbl.Send, Clock: clk,
+		ID: cc.ID, Members: cc.memberIDs(), Dir: cc.DataDir, StateMachine: mc, Send: mbl.Send, Clock: clk,
 		Logger: kt.logger, Heartbeat: cc.Heartbeat, Election: cc.Election,
 	}
 	sv := &rpc.Service{Self: cc.ID, Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: mbl, Clock: clk}
--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -73,7 +73,7 @@
 	str := store.New()
 	str.Clock = steady
 	ho.node = &node.Node{
-		ID: self.ID, Dir: ho.DataDir, Machine: str, Send: lks.Send, Clock: steady, Logger: lg,
+		ID: self.ID, Dir: ho.DataDir, StateMachine: str, Send: lks.Send, Clock: steady, Logger: lg,
 		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, Lazy: true,
 	}
 	ho.roster = &roster.Roster{
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -83,7 +83,7 @@
 	str.Clock = steady
 	lks := &links.Links{Self: peer.Identity{ID: self}, Token: "token", Logger: lg}
 	nod := &node.Node{
-		ID: self, Dir: sy.dir, Machine: str, Send: lks.Send, Clock: steady, Logger: lg,
+		ID: self, Dir: sy.dir, StateMachine: str, Send: lks.Send, Clock: steady, Logger: lg,
 		Heartbeat: 20 * time.Millisecond, Election: 150 * time.Millisecond,
 	}
 	com := &scheduler.Committer{Log: nod, Wall: wall}
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -68,10 +68,10 @@
 
 // Node is one member. Set the exported fields before Run.
 type Node struct {
-	ID      string
-	Members []string
-	Dir     string
-	Machine StateMachine
+	ID           string
+	Members      []string
+	Dir          string
+	StateMachine StateMachine
 	// Send hands a message to the transport; it must not block.
 	Send          func(msg replica.Message)
 	Clock         weir.Clock
@@ -191,7 +191,7 @@
 	nd.hard = st.Hard
 	nd.lastSnap = st.Snapshot.Index
 	if st.Snapshot.Index > 0 {
-		if err := nd.Machine.Restore(st.Snapshot.Index, st.Snapshot.Data); err != nil {
+		if err := nd.StateMachine.Restore(st.Snapshot.Index, st.Snapshot.Data); err != nil {
 			return &Error{Op: "restore", Kind: KindStorage, Err: err}
 		}
 	}
@@ -269,7 +269,7 @@
 			return err
 		}
 		nd.lastSnap = rd.Snapshot.Index
-		if err := nd.Machine.Restore(rd.Snapshot.Index, rd.Snapshot.Data); err != nil {
+		if err := nd.StateMachine.Restore(rd.Snapshot.Index, rd.Snapshot.Data); err != nil {
 			return &Error{Op: "restore", Kind: KindStorage, Err: err}
 		}
 	}
@@ -286,9 +286,9 @@
 	for _, ent := range entries {
 		var value any
 		if ent.Kind == replica.EntryCommand {
-			value = nd.Machine.Apply(ent.Index, ent.Data)
+			value = nd.StateMachine.Apply(ent.Index, ent.Data)
 		} else {
-			nd.Machine.Skip(ent.Index)
+			nd.StateMachine.Skip(ent.Index)
 		}
 		wt, ok := nd.waiters[ent.Index]
 		if !ok {
@@ -309,7 +309,7 @@
 	if applied-nd.lastSnap < nd.SnapshotEvery {
 		return nil
 	}
-	data, err := nd.Machine.Snapshot()
+	data, err := nd.StateMachine.Snapshot()
 	if err != nil {
 		return &Error{Op: "snapshot", Kind: KindStorage, Err: err}
 	}
--- a/internal/state/node/node_test.go
+++ b/internal/state/node/node_test.go
@@ -80,7 +80,7 @@
 func (gr *group) start(id, folder string) {
 	sm := &counter{}
 	nd := &Node{
-		ID: id, Members: gr.ids, Dir: filepath.Join(gr.dir, folder), Machine: sm, Clock: clock.System{},
+		ID: id, Members: gr.ids, Dir: filepath.Join(gr.dir, folder), StateMachine: sm, Clock: clock.System{},
 		Send: gr.send, SnapshotEvery: 200,
 	}
 	require.NoError(gr.t, nd.Default())
