--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -26,13 +26,13 @@
 	if err != nil {
 		return brokenAnswer(slot, err)
 	}
-	if reason := resp.Field(endpoint.HeaderRefused); reason != "" {
+	if reason := resp.Header(endpoint.HeaderRefused); reason != "" {
 		slot.Release(placement.Abandoned)
 		return weir.AnswerNotRun("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
 	return weir.Answer{
-		Kind: weir.Whole, Status: resp.Status, ContentType: resp.Field("Content-Type"), Body: resp.Body,
+		Kind: weir.Whole, Status: resp.Status, ContentType: resp.Header("Content-Type"), Body: resp.Body,
 	}, false
 }
 
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -79,8 +79,8 @@
 	raw *fasthttp.Response
 }
 
-// Field returns the value of a header field, "" where there is none.
-func (rs *Response) Field(name string) string { return string(rs.raw.Header.Peek(name)) }
+// Header returns the value of a header field, "" where there is none.
+func (rs *Response) Header(name string) string { return string(rs.raw.Header.Peek(name)) }
 
 // Pool holds the connections to one endpoint.
 type Pool struct {
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -187,8 +187,8 @@
 	})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNotFound, resp.Status)
-	require.Equal(t, "none", resp.Field("X-Reason"))
-	require.Empty(t, resp.Field("X-Other"))
+	require.Equal(t, "none", resp.Header("X-Reason"))
+	require.Empty(t, resp.Header("X-Other"))
 	req := <-seen
 	require.Equal(t, http.MethodPut, req.Method)
 	require.Equal(t, "/a%20b?c=d", req.URL.String())
