--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -70,8 +70,8 @@
 	Remaining time.Duration `json:"remainingNanos"`
 }
 
-// Here returns the request with its deadline by the receiver's clock.
-func (cp CallParams) Here(now time.Time) weir.Request {
+// LocalRequest returns the request with its deadline by the receiver's clock.
+func (cp CallParams) LocalRequest(now time.Time) weir.Request {
 	req := cp.Request
 	req.Deadline = now.Add(cp.Remaining)
 	return req
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -290,7 +290,7 @@
 
 func TestDeadlineTravelsAsRemainingTime(t *testing.T) {
 	there := time.Unix(1_700_000_000, 0) // a clock that is far off
-	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.Here(there)
+	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.LocalRequest(there)
 	require.Equal(t, there.Add(time.Second), req.Deadline)
 }
 
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -55,13 +55,13 @@
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.RunKeyed(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunKeyed(ctx, params.LocalRequest(sv.Clock.Now())), nil
 	case peerapi.EntryRun:
 		var params dispatch.CallParams
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.RunOnFreeSlot(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunOnFreeSlot(ctx, params.LocalRequest(sv.Clock.Now())), nil
 	case peerapi.EntryAdvert:
 		var ad peerapi.Advert
 		if err := call.Decode(&ad); err != nil {
