--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -69,8 +69,8 @@
 		switch {
 		case step.BestEffort:
 			filling = append(filling, rt.RunKey)
-		case step.LongRunning && step.Target > 0:
-			worst = max(worst, rt.Rough/float64(step.Target.Milliseconds()))
+		case step.LongRunning && step.TargetLatency > 0:
+			worst = max(worst, rt.Rough/float64(step.TargetLatency.Milliseconds()))
 		}
 	}
 	pc := re.pace[id]
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -93,8 +93,8 @@
 	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
-	// Target is the response time that a lasting task's users want.
-	Target time.Duration `json:"target,omitempty"`
+	// TargetLatency is the response time that a lasting task's users want.
+	TargetLatency time.Duration `json:"target,omitempty"`
 	// BestEffort tasks use the processor that others leave; their MilliCPU does
 	// not count against a worker.
 	BestEffort bool `json:"filling,omitempty"`
