--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -68,7 +68,7 @@
 // build makes the parts and the steps that run them.
 func (ho *holder) build() {
 	self := peer.Identity{ID: ho.PeerAddr, Role: "control", Zone: ho.Zone}
-	steady, wall, lg := clock.Steady{}, clock.Wall{}, ho.Logger
+	steady, wall, lg := clock.BootTime{}, clock.Wall{}, ho.Logger
 	lks := &links.Links{Self: self, Token: ho.Token, Logger: lg}
 	str := store.New()
 	str.Clock = steady
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -89,7 +89,7 @@
 	ctx := stopContext(lg, func() string { return "nothing that is not synced" })
 	ho := &holder{
 		PeerAddr: jc.PeerAddr, Zone: jc.Zone, Token: token, Seeds: jc.Seeds, DataDir: jc.DataDir, Voters: 2*jc.Tolerance + 1,
-		Retention: jc.Retention, Name: jc.PeerAddr, Workers: taskapi.NewClient(clock.Steady{}), Logger: lg,
+		Retention: jc.Retention, Name: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
 	}
 	ho.build()
 	ho.steps = append(ho.steps, &ops.Listener{
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -69,14 +69,14 @@
 		PeerAddr: st.PeerAddress(), Zone: string(st.Zone), Token: peerToken, Seeds: st.SeedPeers(), DataDir: st.DataDir,
 		Voters: 2*st.Tolerance.Machines + 1, Retention: time.Duration(st.Bounds.RetentionS*float64(time.Second)) + retentionMargin,
 		Name: st.Name, Turn: st.Turn() + turnMargin,
-		Workers: platform.NewWorkers(clock.Steady{}), Logger: lg,
+		Workers: platform.NewWorkers(clock.BootTime{}), Logger: lg,
 	}
 	if st.Cloud.Address != "" {
-		ho.Machines = platform.NewMachines(st.Cloud.Address, clock.Steady{})
+		ho.Machines = platform.NewMachines(st.Cloud.Address, clock.BootTime{})
 		ho.MachineRate = st.Cloud.OrdersPerS
 	}
 	if st.Adviser != "" {
-		ho.Adviser = platform.NewAdviser(st.Adviser, clock.Steady{})
+		ho.Adviser = platform.NewAdviser(st.Adviser, clock.BootTime{})
 	}
 	return ho
 }
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -51,7 +51,7 @@
 	self := peer.Identity{ID: st.PeerAddress(), Role: "entry", Zone: string(st.Zone)}
 	lks := &links.Links{Self: self, Token: peerToken, Logger: lg, NoRaft: true}
 	ros := &roster.Roster{Self: self.ID, Seeds: st.SeedPeers(), Links: lks, Logger: lg}
-	rly := &relay.Relay{Links: lks, Roster: ros, Clock: clock.Steady{}, Logger: lg}
+	rly := &relay.Relay{Links: lks, Roster: ros, Clock: clock.BootTime{}, Logger: lg}
 	ready := func() bool { return !stopping.Load() && rly.Ready() }
 	return []weir.Component{
 		lks,
--- a/internal/duty/clock/clock.go
+++ b/internal/duty/clock/clock.go
@@ -23,12 +23,12 @@
 // Now returns the present time.
 func (System) Now() time.Time { return origin.Add(time.Since(origin)) }
 
-// Steady counts the time since the machine started, also while it stood still.
+// BootTime counts the time since the machine started, also while it stood still.
 // It does not tell the time of day.
-type Steady struct{}
+type BootTime struct{}
 
 // Now returns the time since the machine's start as a time after 1970.
-func (Steady) Now() time.Time {
+func (BootTime) Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return origin.Add(time.Since(origin))
--- a/internal/entry/relay/relay_test.go
+++ b/internal/entry/relay/relay_test.go
@@ -61,7 +61,7 @@
 	require.NoError(t, lks.Default())
 	require.NoError(t, ros.Default())
 	run(t, lks.Run)
-	rly := &Relay{Links: lks, Roster: ros, Clock: clock.Steady{}, Logger: log.NewNopLogger()}
+	rly := &Relay{Links: lks, Roster: ros, Clock: clock.BootTime{}, Logger: log.NewNopLogger()}
 	for _, ho := range holders {
 		require.Eventually(t, func() bool { return lks.Ready(ho.addr) }, 5*time.Second, time.Millisecond)
 	}
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -78,7 +78,7 @@
 
 // start runs the process on the data that is there.
 func (sy *system) start() {
-	steady, wall, lg := clock.Steady{}, clock.Wall{}, log.NewNopLogger()
+	steady, wall, lg := clock.BootTime{}, clock.Wall{}, log.NewNopLogger()
 	str := store.New()
 	str.Clock = steady
 	lks := &links.Links{Self: peer.Identity{ID: self}, Token: "token", Logger: lg}
--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -56,7 +56,7 @@
 	go func() { _ = com.Run(ctx) }()
 	db := &doneBefore{orders: make(chan weir.MachineOrder, 8)}
 	ow := &Scheduler{
-		Store: st, Machines: db, Leadership: firstTerm{}, Committer: com, Clock: clock.Steady{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
+		Store: st, Machines: db, Leadership: firstTerm{}, Committer: com, Clock: clock.BootTime{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
 	}
 	re := &reign{term: 1, since: testNow, machines: newMachineDuty(0), sessions: map[weir.InstanceID]*attended{}}
 	re.machines.mine["mw0"] = true
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -54,7 +54,7 @@
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	at := &attended{worker: store.Worker{ID: "w0", Born: 1}}
 	at.ss = &session.Session{
-		Life: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leads: leads{}, Clock: clock.Steady{}, Changed: func() {}, Workers: wk,
+		Life: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leads: leads{}, Clock: clock.BootTime{}, Changed: func() {}, Workers: wk,
 	}
 	require.NoError(t, at.ss.Default())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -98,10 +98,10 @@
 	ow, re, at, wk := idleWorker(t, st)
 	key := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}
 	re.starting[key] = true
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	re.planned()
 	require.Never(t, func() bool { return len(wk.stopped()) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	require.Eventually(t, func() bool { return len(wk.stopped()) > 0 }, 10*time.Second, time.Millisecond,
 		"a run that nobody ordered in this reign is stopped by its number")
 }
@@ -119,7 +119,7 @@
 	st = storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"),
 		store.Change{End: &store.End{Task: second.Task, Run: 1, How: store.EndRefused}})
 	ow, re, at, wk := idleWorker(t, st, weir.RunningTask{RunKey: first})
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	require.Eventually(t, func() bool { return len(wk.stopped()) > 0 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, first, wk.stopped()[0])
 }
