--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -44,8 +44,8 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// ProofAge is how long a connection counts as proven after it answered.
-	ProofAge = time.Second
+	// MaxReuseAge is how long a connection counts as proven after it answered.
+	MaxReuseAge = time.Second
 	// MaxBodyBytes bounds the body of an answer.
 	MaxBodyBytes = 4 << 20
 
@@ -162,7 +162,7 @@
 // take returns an idle connection that is proven, or a new one.
 func (pl *Pool) take(ctx context.Context, repeatable bool) (*conn, error) {
 	now := pl.clk.Now()
-	maxAge := ProofAge
+	maxAge := MaxReuseAge
 	if repeatable {
 		maxAge = idleAge
 	}
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -129,7 +129,7 @@
 	pl := NewPool(addr, 4, clk)
 	_, err := pl.Do(context.Background(), booking)
 	require.NoError(t, err)
-	clk.Advance(ProofAge + time.Millisecond)
+	clk.Advance(MaxReuseAge + time.Millisecond)
 	patient, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	_, err = pl.Do(patient, booking)
