--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 type Mesh interface {
 	ledger.Caller
 	Ready(id string) bool
-	Pick(service weir.ServiceName) (string, bool)
+	PickPeer(service weir.ServiceName) (string, bool)
 	Has(service weir.ServiceName) bool
 	Exhausted(id string, service weir.ServiceName)
 }
@@ -345,7 +345,7 @@
 		if !errkind.Is(err, placement.KindNoSlot) {
 			return weir.AnswerNotRun(err.Error()), false
 		}
-		if id, ok := dp.Mesh.Pick(req.Service); ok {
+		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
 			if ans, busy := dp.runAt(ctx, id, req); !busy {
 				return ans, ans.Kind == weir.NotRun
 			}
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -49,10 +49,10 @@
 	}
 	return nil
 }
-func (fm *fakeMesh) Ready(string) bool                    { return !fm.down.Load() }
-func (fm *fakeMesh) Pick(weir.ServiceName) (string, bool) { return "", false }
-func (fm *fakeMesh) Has(weir.ServiceName) bool            { return false }
-func (fm *fakeMesh) Exhausted(string, weir.ServiceName)   {}
+func (fm *fakeMesh) Ready(string) bool                        { return !fm.down.Load() }
+func (fm *fakeMesh) PickPeer(weir.ServiceName) (string, bool) { return "", false }
+func (fm *fakeMesh) Has(weir.ServiceName) bool                { return false }
+func (fm *fakeMesh) Exhausted(string, weir.ServiceName)       {}
 
 // rig is a dispatcher with endpoints at the given addresses.
 type rig struct {
