--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -121,7 +121,7 @@
 }
 
 func (jb Job) decode() *spec.Job {
-	out := &spec.Job{Text: jb.Text, Times: jb.Times, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
+	out := &spec.Job{Text: jb.Text, OccurrenceCount: jb.Times, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
 	for _, st := range jb.Steps {
 		out.Steps = append(out.Steps, spec.Step{
 			Count: st.Count, Resources: spec.Resources{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -243,7 +243,7 @@
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "job accepted", "job", jb.ID, "queue", jb.Queue, "steps", len(jb.Steps),
-		"tasks", jb.Tasks(), "lasting", jb.LongRunning(), "times", jb.Times)
+		"tasks", jb.Tasks(), "lasting", jb.LongRunning(), "times", jb.OccurrenceCount)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Queued}
 }
--- a/internal/job/scheduler/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, after(3600), startBy(jb, testNow, qu, 0, 0))
 	require.Equal(t, after(4600), startBy(jb, testNow, qu, 0, 1))
 	require.Equal(t, after(6100), startBy(jb, testNow, qu, 0, 2))
-	jb.Times, jb.StartAt, jb.Every = 3, after(10_000), time.Second
+	jb.OccurrenceCount, jb.StartAt, jb.Every = 3, after(10_000), time.Second
 	require.Equal(t, after(15_600), startBy(jb, testNow, qu, 2, 0), "occurrences count from their due time")
 }
 
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -132,19 +132,19 @@
 	// Text is handed to each task as it is.
 	Text  string `json:"text"`
 	Steps []Step `json:"steps"`
-	// Times is how often the steps run; 0 means once, at once.
-	Times int `json:"times,omitempty"`
+	// OccurrenceCount is how often the steps run; 0 means once, at once.
+	OccurrenceCount int `json:"times,omitempty"`
 	// StartAt is the due time of occurrence 0; Every separates them.
 	StartAt time.Time     `json:"startAt,omitzero"`
 	Every   time.Duration `json:"every,omitempty"`
 }
 
 // Occurrences returns how often the steps run, at least 1.
-func (jb Job) Occurrences() int { return max(jb.Times, 1) }
+func (jb Job) Occurrences() int { return max(jb.OccurrenceCount, 1) }
 
 // DueAt returns when an occurrence is due; the zero time is at once.
 func (jb Job) DueAt(occurrence int) time.Time {
-	if jb.Times == 0 {
+	if jb.OccurrenceCount == 0 {
 		return time.Time{}
 	}
 	return jb.StartAt.Add(time.Duration(occurrence) * jb.Every)
@@ -177,8 +177,8 @@
 	if len(jb.Steps) == 0 || len(jb.Steps) > MaxSteps {
 		return invalid("%d steps, want 1 to %d", len(jb.Steps), MaxSteps)
 	}
-	if jb.Times < 0 || jb.Times > MaxTimes || jb.Every < 0 {
-		return invalid("%d occurrences each %s", jb.Times, jb.Every)
+	if jb.OccurrenceCount < 0 || jb.OccurrenceCount > MaxTimes || jb.Every < 0 {
+		return invalid("%d occurrences each %s", jb.OccurrenceCount, jb.Every)
 	}
 	for ix, st := range jb.Steps {
 		if err := st.check(ix); err != nil {
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -260,7 +260,7 @@
 func TestGangOfSeveralOccurrences(t *testing.T) {
 	fx := newFixture(t)
 	fx.taken(Change{Submit: &spec.Job{
-		ID: "a", Queue: "h/q/", Times: 3, StartAt: testNow, Every: time.Second, Steps: []spec.Step{{Count: 3, Gang: true}},
+		ID: "a", Queue: "h/q/", OccurrenceCount: 3, StartAt: testNow, Every: time.Second, Steps: []spec.Step{{Count: 3, Gang: true}},
 	}})
 	for ix := range 3 {
 		fx.taken(start("a", 0, ix, 1, ix))
