--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -118,8 +118,8 @@
 }
 
 // evidence notes since when returning instances are up.
-func (rc *Reconciler) evidence(rd fsm.Reader, now time.Time) wave.Evidence {
-	ev := wave.Evidence{UpSince: map[weir.InstanceID]time.Time{}}
+func (rc *Reconciler) evidence(rd fsm.Reader, now time.Time) wave.Observations {
+	ev := wave.Observations{UpSince: map[weir.InstanceID]time.Time{}}
 	for id, mem := range rd.Members() {
 		sta := rd.Statuses()[id]
 		if mem.Phase != view.Returning || !sta.Up {
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -28,15 +28,15 @@
 	ReturnTimeout = 120 * time.Second
 )
 
-// Evidence is what the leader knows beyond the replicated state.
-type Evidence struct {
+// Observations is what the leader knows beyond the replicated state.
+type Observations struct {
 	// UpSince is when an instance was first seen up in its present
 	// incarnation, without a break.
 	UpSince map[weir.InstanceID]time.Time
 }
 
 // Next returns the commands to propose now.
-func Next(rd fsm.Reader, ev Evidence, now time.Time) []command.Command {
+func Next(rd fsm.Reader, ev Observations, now time.Time) []command.Command {
 	pl := &planner{rd: rd, ev: ev, now: now, headroom: map[weir.PoolName]int{}}
 	for _, pool := range rd.Pools() {
 		pl.headroom[pool.Name] = rd.Headroom(pool.Name)
@@ -52,7 +52,7 @@
 
 type planner struct {
 	rd       fsm.Reader
-	ev       Evidence
+	ev       Observations
 	now      time.Time
 	headroom map[weir.PoolName]int
 	steps    []command.Command
