--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -34,8 +34,8 @@
 	// MaxSteps and MaxTasks bound the book-keeping of one job.
 	MaxSteps = 256
 	MaxTasks = 10_000
-	// MaxTimes bounds the occurrences of one job.
-	MaxTimes = 10_000
+	// MaxOccurrences bounds the occurrences of one job.
+	MaxOccurrences = 10_000
 )
 
 // ID is the caller's name of a job.
@@ -177,7 +177,7 @@
 	if len(jb.Steps) == 0 || len(jb.Steps) > MaxSteps {
 		return invalid("%d steps, want 1 to %d", len(jb.Steps), MaxSteps)
 	}
-	if jb.OccurrenceCount < 0 || jb.OccurrenceCount > MaxTimes || jb.Every < 0 {
+	if jb.OccurrenceCount < 0 || jb.OccurrenceCount > MaxOccurrences || jb.Every < 0 {
 		return invalid("%d occurrences each %s", jb.OccurrenceCount, jb.Every)
 	}
 	for ix, st := range jb.Steps {
