--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -93,7 +93,7 @@
 	}
 	ho.build()
 	ho.steps = append(ho.steps, &ops.Listener{
-		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(ho.service, clock.Wall{}), Patience: controlPatience,
+		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(ho.service, clock.Wall{}), ShutdownTimeout: controlPatience,
 	})
 	if jc.MetricsAddr != "" {
 		ho.steps = append(ho.steps, metricsListener(jc.MetricsAddr, ho.state))
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -58,7 +58,7 @@
 		Handler: ho.service, Wall: clock.Wall{}, Logger: lg, Address: st.ControlAddress,
 	}
 	ho.steps = append(ho.steps, pc.watch(lg, ho.roster), metricsStep(&st, ho.state),
-		&ops.Listener{Name: "control listener", Addr: st.Bind.Control, Handler: ctl.Routes(), Patience: controlPatience})
+		&ops.Listener{Name: "control listener", Addr: st.Bind.Control, Handler: ctl.Routes(), ShutdownTimeout: controlPatience})
 	err = run.All(ctx, lg, ho.steps...)
 	_ = lg.Log("level", "info", "msg", "stopped", "err", err)
 	return err
--- a/internal/duty/ops/listener.go
+++ b/internal/duty/ops/listener.go
@@ -11,11 +11,11 @@
 // it goes on for Linger, so that callers that were sent here still get
 // answers, and then lets what is in flight finish for at most Patience.
 type Listener struct {
-	Name     string
-	Addr     string
-	Handler  http.Handler
-	Linger   time.Duration
-	Patience time.Duration
+	Name            string
+	Addr            string
+	Handler         http.Handler
+	Linger          time.Duration
+	ShutdownTimeout time.Duration
 
 	lis net.Listener
 }
@@ -39,5 +39,5 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { time.AfterFunc(ls.Linger, cancel) })
 	defer stop()
-	return Serve(serveCtx, NewHTTPServer(ls.Handler), ls.lis, ls.Patience)
+	return Serve(serveCtx, NewHTTPServer(ls.Handler), ls.lis, ls.ShutdownTimeout)
 }
