--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -86,7 +86,7 @@
 	var silent []command.Status
 	rc.Machine.Read(func(rd fsm.Reader) {
 		silent = rc.silent(rd, now)
-		steps = wave.Next(rd, rc.evidence(rd, now), now)
+		steps = wave.NextCommands(rd, rc.evidence(rd, now), now)
 		for _, mem := range rd.Members() {
 			if mem.Phase == view.Drained {
 				drained = append(drained, mem)
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -35,8 +35,8 @@
 	UpSince map[weir.InstanceID]time.Time
 }
 
-// Next returns the commands to propose now.
-func Next(rd fsm.Reader, ev Observations, now time.Time) []command.Command {
+// NextCommands returns the commands to propose now.
+func NextCommands(rd fsm.Reader, ev Observations, now time.Time) []command.Command {
 	pl := &planner{rd: rd, ev: ev, now: now, headroom: map[weir.PoolName]int{}}
 	for _, pool := range rd.Pools() {
 		pl.headroom[pool.Name] = rd.Headroom(pool.Name)
--- a/internal/standin/slopes/measure_control.go
+++ b/internal/standin/slopes/measure_control.go
@@ -44,7 +44,7 @@
 		const count = 5
 		return cpuMicros(count, func() {
 			for range count {
-				mc.Read(func(rd fleet.Reader) { wave.Next(rd, wave.Observations{}, ms.clk.Now()) })
+				mc.Read(func(rd fleet.Reader) { wave.NextCommands(rd, wave.Observations{}, ms.clk.Now()) })
 			}
 		})
 	})
