--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -51,7 +51,7 @@
 	for ix := range 3 {
 		id := fmt.Sprint("w", ix)
 		wk := store.Worker{ID: weir.InstanceID(id), Born: 1, Address: id, Machine: "m" + id}
-		key := weir.RunKey{Task: spec.Ref{Job: "a", Index: ix}, Run: 1}
+		key := weir.RunKey{Task: spec.TaskRef{Job: "a", Index: ix}, Run: 1}
 		apply(store.Change{Join: &wk})
 		apply(store.Change{Start: &store.Start{Task: key.Task, Run: 1, Worker: wk.ID, Born: 1}})
 		ss := &session.Session{
@@ -88,9 +88,9 @@
 	require.True(t, blocked(ow, re), "w1 is about to go")
 	delete(re.machines.intent, "mw1")
 
-	re.evicted[weir.RunKey{Task: spec.Ref{Job: "a", Index: 2}, Run: 1}] = true
+	re.evicted[weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 1}] = true
 	require.True(t, blocked(ow, re), "a task elsewhere is being stopped")
-	delete(re.evicted, weir.RunKey{Task: spec.Ref{Job: "a", Index: 2}, Run: 1})
+	delete(re.evicted, weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 1})
 
 	delete(re.sessions, "w2")
 	require.True(t, blocked(ow, re), "nothing is heard of w2")
--- a/internal/job/scheduler/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -83,9 +83,9 @@
 
 func TestHealthOfWorkers(t *testing.T) {
 	ow := &Scheduler{Logger: log.NewNopLogger()}
-	re := &reign{health: map[weir.InstanceID]*health{}, avoid: map[spec.Ref]weir.InstanceID{}}
+	re := &reign{health: map[weir.InstanceID]*health{}, avoid: map[spec.TaskRef]weir.InstanceID{}}
 	failed := func() {
-		ow.noteEnd(re, "w", store.End{Task: spec.Ref{Job: "a"}, How: store.EndFailed}, testNow)
+		ow.noteEnd(re, "w", store.End{Task: spec.TaskRef{Job: "a"}, How: store.EndFailed}, testNow)
 	}
 	for range suspectAfter {
 		require.False(t, re.health["w"].suspect(testNow))
@@ -96,8 +96,8 @@
 	failed()
 	require.True(t, re.health["w"].resting(testNow))
 	require.False(t, re.health["w"].resting(testNow.Add(restMin+time.Millisecond)))
-	require.Equal(t, weir.InstanceID("w"), re.avoid[spec.Ref{Job: "a"}], "the task goes elsewhere next")
-	ow.noteEnd(re, "w", store.End{Task: spec.Ref{Job: "a"}, How: store.EndDone}, testNow)
+	require.Equal(t, weir.InstanceID("w"), re.avoid[spec.TaskRef{Job: "a"}], "the task goes elsewhere next")
+	ow.noteEnd(re, "w", store.End{Task: spec.TaskRef{Job: "a"}, How: store.EndDone}, testNow)
 	require.False(t, re.health["w"].suspect(testNow))
 	require.Empty(t, re.avoid)
 }
@@ -105,16 +105,16 @@
 func TestLongTaskIsStoppedOnce(t *testing.T) {
 	ow := &Scheduler{Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{
-		health: map[weir.InstanceID]*health{}, avoid: map[spec.Ref]weir.InstanceID{}, slow: map[spec.Ref]bool{},
+		health: map[weir.InstanceID]*health{}, avoid: map[spec.TaskRef]weir.InstanceID{}, slow: map[spec.TaskRef]bool{},
 		evicted: map[weir.RunKey]bool{}, sessions: map[weir.InstanceID]*attended{"w1": {}, "w2": {}},
 	}
 	step := spec.Step{Estimate: time.Second}
 	crawl := progress{}.seen(0, testNow).seen(5, after(2000))
-	first := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}
+	first := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}
 	ow.judge(re, "w1", first, crawl, step, after(2000))
 	require.True(t, re.evicted[first], "perhaps the worker is slow")
 	require.Equal(t, weir.InstanceID("w1"), re.avoid[first.Task])
-	second := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 2}
+	second := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 2}
 	ow.judge(re, "w2", second, crawl, step, after(2000))
 	require.False(t, re.evicted[second], "it is the task")
 	require.Nil(t, re.health["w2"], "and the worker is not blamed")
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -193,7 +193,7 @@
 		return plan.Group{}, false
 	}
 	step := js.Spec.Steps[sp]
-	ref := spec.Ref{Job: js.Spec.ID, Occurrence: oc, Step: sp}
+	ref := spec.TaskRef{Job: js.Spec.ID, Occurrence: oc, Step: sp}
 	gr := plan.Group{
 		Step: ref, Spec: step, Pool: qu.Pool, Priority: qu.Priority,
 		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), On: map[weir.InstanceID]int{},
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -88,7 +88,7 @@
 }
 
 func startAt(index int, worker weir.InstanceID) store.Change {
-	return store.Change{Start: &store.Start{Task: spec.Ref{Job: "a", Index: index}, Run: 1, Worker: worker, Born: 1}}
+	return store.Change{Start: &store.Start{Task: spec.TaskRef{Job: "a", Index: index}, Run: 1, Worker: worker, Born: 1}}
 }
 
 // TestStartThatIsBeingOrderedIsNotStopped looks at the worker between the
@@ -96,7 +96,7 @@
 func TestStartThatIsBeingOrderedIsNotStopped(t *testing.T) {
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, startAt(0, "w0"))
 	ow, re, at, wk := idleWorker(t, st)
-	key := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}
+	key := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}
 	re.starting[key] = true
 	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	re.planned()
@@ -110,7 +110,7 @@
 // members would otherwise wait for the missing one until they give up.
 func TestGangIsStoppedOnceAMemberIsMissing(t *testing.T) {
 	gang := store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 2, Gang: true}}}}
-	first, second := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}, weir.RunKey{Task: spec.Ref{Job: "a", Index: 1}, Run: 1}
+	first, second := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}, weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 1}, Run: 1}
 	st := storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"))
 	st.Read(func(rd store.Reader) {
 		require.True(t, rd.Job("a").Whole(first))
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -41,8 +41,8 @@
 // ID is the caller's name of a job.
 type ID = weir.JobID
 
-// Ref names one task of a job.
-type Ref = weir.TaskRef
+// TaskRef names one task of a job.
+type TaskRef = weir.TaskRef
 
 // Resources is what one task needs of a worker.
 type Resources struct {
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -67,7 +67,7 @@
 // Start is the intent to start a run. It is committed before the order is
 // sent, so that every later leader knows where a run may be.
 type Start struct {
-	Task   spec.Ref        `json:"t"`
+	Task   spec.TaskRef    `json:"t"`
 	Run    int             `json:"r"`
 	Worker weir.InstanceID `json:"w"`
 	Born   int64           `json:"b"`
@@ -94,10 +94,10 @@
 
 // End is the end of one run.
 type End struct {
-	Task       spec.Ref `json:"t"`
-	Run        int      `json:"r"`
-	How        How      `json:"h"`
-	Checkpoint string   `json:"cp,omitempty"`
+	Task       spec.TaskRef `json:"t"`
+	Run        int          `json:"r"`
+	How        How          `json:"h"`
+	Checkpoint string       `json:"cp,omitempty"`
 }
 
 // Wave asks for the maintenance of machines.
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -70,7 +70,7 @@
 }
 
 // Task returns a task, nil where there is none.
-func (js *JobState) Task(rf spec.Ref) *Task {
+func (js *JobState) Task(rf spec.TaskRef) *Task {
 	if rf.Occurrence >= len(js.Rounds) || rf.Step >= len(js.Spec.Steps) || js.Rounds[rf.Occurrence] == nil {
 		return nil
 	}
@@ -83,7 +83,7 @@
 
 // Checkpoint returns where the next run of a task resumes. All members of a
 // gang resume from the same.
-func (js *JobState) Checkpoint(rf spec.Ref) string {
+func (js *JobState) Checkpoint(rf spec.TaskRef) string {
 	if !js.Spec.Steps[rf.Step].Gang {
 		return js.Task(rf).Checkpoint
 	}
@@ -214,7 +214,7 @@
 				for ix := range round[sp].Tasks {
 					tk := &round[sp].Tasks[ix]
 					if tk.Placed() {
-						st.addRun(js, spec.Ref{Job: id, Occurrence: oc, Step: sp, Index: ix}, tk)
+						st.addRun(js, spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, tk)
 					}
 				}
 			}
@@ -243,7 +243,7 @@
 
 func (st *state) leaveQueue(js *JobState) { delete(st.ByQueue[js.Spec.Queue], js.Spec.ID) }
 
-func (st *state) addRun(js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) addRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	runs := st.Runs[tk.Worker]
 	if runs == nil {
 		runs = map[RunKey]spec.Resources{}
@@ -254,7 +254,7 @@
 	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(step, 1)
 }
 
-func (st *state) dropRun(js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) dropRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	delete(st.Runs[tk.Worker], RunKey{Task: rf, Run: tk.Run})
 	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(js.Spec.Steps[rf.Step], -1)
 }
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -324,13 +324,13 @@
 	}
 }
 
-func (st *state) free(at time.Time, js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) free(at time.Time, js *JobState, rf spec.TaskRef, tk *Task) {
 	st.dropRun(js, rf, tk)
 	tk.Worker, tk.Born, tk.EndedAt = "", 0, at
 	js.Placed--
 }
 
-func (st *state) taskDone(at time.Time, js *JobState, rf spec.Ref, tk *Task, step spec.Step) {
+func (st *state) taskDone(at time.Time, js *JobState, rf spec.TaskRef, tk *Task, step spec.Step) {
 	ss := &js.Rounds[rf.Occurrence][rf.Step]
 	if step.Gang {
 		// One end stands for all members; those still listed end by themselves.
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -81,12 +81,12 @@
 
 func start(job string, step, index, run, worker int) Change {
 	return Change{Start: &Start{
-		Task: spec.Ref{Job: spec.ID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
+		Task: spec.TaskRef{Job: spec.ID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
 	}}
 }
 
 func end(job string, step, index, run int, how How) Change {
-	return Change{End: &End{Task: spec.Ref{Job: spec.ID(job), Step: step, Index: index}, Run: run, How: how}}
+	return Change{End: &End{Task: spec.TaskRef{Job: spec.ID(job), Step: step, Index: index}, Run: run, How: how}}
 }
 
 var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
@@ -175,12 +175,12 @@
 	fx.sr.Read(func(rd Reader) {
 		_, ok := rd.Worker("w0")
 		require.False(t, ok)
-		require.False(t, rd.Job("a").Task(spec.Ref{Job: "a"}).Placed())
+		require.False(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed())
 	})
 	// The same id again: what ran there is uncertain, so it stays placed.
 	fx.taken(Change{Join: testWorker(1, 5)})
 	fx.sr.Read(func(rd Reader) {
-		tk := rd.Job("a").Task(spec.Ref{Job: "a", Index: 1})
+		tk := rd.Job("a").Task(spec.TaskRef{Job: "a", Index: 1})
 		require.True(t, tk.Placed())
 		require.Equal(t, int64(5), tk.Born)
 	})
@@ -190,7 +190,7 @@
 	draining := testWorker(1, 5)
 	draining.Draining = true
 	fx.taken(Change{Join: draining})
-	fx.refused(Change{Start: &Start{Task: spec.Ref{Job: "a", Index: 2}, Run: 2, Worker: "w1", Born: 5}}, "worker drains")
+	fx.refused(Change{Start: &Start{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Born: 5}}, "worker drains")
 	// Word from before the drain comes late, perhaps to a later leader.
 	draining.Sequence = 7
 	fx.taken(Change{Join: draining})
@@ -247,11 +247,11 @@
 
 	fx.submit("b", spec.Step{Count: 2, Gang: true, Checkpointing: true})
 	fx.taken(start("b", 0, 0, 1, 0))
-	fx.taken(Change{End: &End{Task: spec.Ref{Job: "b"}, Run: 1, How: EndBroken, Checkpoint: "here"}})
+	fx.taken(Change{End: &End{Task: spec.TaskRef{Job: "b"}, Run: 1, How: EndBroken, Checkpoint: "here"}})
 	fx.taken(start("b", 0, 0, 2, 0))
 	fx.taken(start("b", 0, 1, 2, 1))
 	fx.sr.Read(func(rd Reader) {
-		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.Ref{Job: "b", Index: 1}), "all resume from the same")
+		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.TaskRef{Job: "b", Index: 1}), "all resume from the same")
 	})
 }
 
@@ -331,7 +331,7 @@
 					require.False(t, tk.Done, "a finished task is placed")
 					count++
 					placed[tk.Worker]++
-					key := RunKey{Task: spec.Ref{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
+					key := RunKey{Task: spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
 					require.Contains(t, st.Runs[tk.Worker], key)
 				}
 				require.Equal(t, left, round[sp].Left)
