--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -60,7 +60,7 @@
 		metricsStep(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
 		&ops.Listener{
 			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewFront(rly, lg),
-			Linger: entryLinger, ShutdownTimeout: entryPatience,
+			ShutdownDelay: entryLinger, ShutdownTimeout: entryPatience,
 		},
 		&ops.Listener{Name: "readiness", Addr: st.Bind.Ready, Handler: platform.NewReady(ready)},
 	}
--- a/internal/duty/ops/listener.go
+++ b/internal/duty/ops/listener.go
@@ -14,7 +14,7 @@
 	Name            string
 	Addr            string
 	Handler         http.Handler
-	Linger          time.Duration
+	ShutdownDelay   time.Duration
 	ShutdownTimeout time.Duration
 
 	lis net.Listener
@@ -37,7 +37,7 @@
 func (ls *Listener) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(ls.Linger, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(ls.ShutdownDelay, cancel) })
 	defer stop()
 	return Serve(serveCtx, NewHTTPServer(ls.Handler), ls.lis, ls.ShutdownTimeout)
 }
