--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -285,7 +285,7 @@
 }
 
 func (sv *Handler) cancel(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	var id spec.ID
+	var id spec.JobID
 	var rep *jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		js, failed := job(rd, call)
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -38,8 +38,8 @@
 	MaxOccurrences = 10_000
 )
 
-// ID is the caller's name of a job.
-type ID = weir.JobID
+// JobID is the caller's name of a job.
+type JobID = weir.JobID
 
 // TaskRef names one task of a job.
 type TaskRef = weir.TaskRef
@@ -126,7 +126,7 @@
 
 // Job is what a caller submitted.
 type Job struct {
-	ID ID `json:"id"`
+	ID JobID `json:"id"`
 	// Queue is the key of the queue it was submitted to.
 	Queue string `json:"queue"`
 	// Text is handed to each task as it is.
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -21,12 +21,12 @@
 type Change struct {
 	Catalog *catalog.Packed   `json:"cat,omitempty"`
 	Submit  *spec.Job         `json:"sub,omitempty"`
-	Cancel  *spec.ID          `json:"can,omitempty"`
+	Cancel  *spec.JobID       `json:"can,omitempty"`
 	Join    *Worker           `json:"join,omitempty"`
 	Leave   *Leave            `json:"leave,omitempty"`
 	Start   *Start            `json:"st,omitempty"`
 	End     *End              `json:"end,omitempty"`
-	Forget  []spec.ID         `json:"forget,omitempty"`
+	Forget  []spec.JobID      `json:"forget,omitempty"`
 	Wave    *Wave             `json:"wave,omitempty"`
 	Machine *MachineOperation `json:"mach,omitempty"`
 }
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -23,7 +23,7 @@
 
 // Job returns a job, nil where it is not known. It must not be changed, nor
 // kept beyond the read.
-func (rd Reader) Job(id spec.ID) *JobState { return rd.st.Jobs[id] }
+func (rd Reader) Job(id spec.JobID) *JobState { return rd.st.Jobs[id] }
 
 // EachActive calls a function for each job that has tasks to run or runs that
 // may be at workers.
@@ -75,8 +75,8 @@
 }
 
 // Expired returns jobs that ended before a time, at most limit of them.
-func (rd Reader) Expired(before time.Time, limit int) []spec.ID {
-	var ids []spec.ID
+func (rd Reader) Expired(before time.Time, limit int) []spec.JobID {
+	var ids []spec.JobID
 	for id, js := range rd.st.Jobs {
 		if js.Phase.Over() && js.Placed == 0 && js.Ended.Before(before) {
 			ids = append(ids, id)
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -141,12 +141,12 @@
 type state struct {
 	Index   uint64                                        `json:"index"`
 	Packed  catalog.Packed                                `json:"catalog"`
-	Jobs    map[spec.ID]*JobState                         `json:"jobs"`
+	Jobs    map[spec.JobID]*JobState                      `json:"jobs"`
 	Workers map[weir.InstanceID]*Worker                   `json:"workers"`
 	Waves   map[int64]*Wave                               `json:"waves"`
 	Orders  map[string]*MachineOperation                  `json:"orders"`
-	Active  map[spec.ID]bool                              `json:"-"`
-	ByQueue map[string]map[spec.ID]bool                   `json:"-"`
+	Active  map[spec.JobID]bool                           `json:"-"`
+	ByQueue map[string]map[spec.JobID]bool                `json:"-"`
 	Runs    map[weir.InstanceID]map[RunKey]spec.Resources `json:"-"`
 	Loads   map[weir.InstanceID]WorkerLoad                `json:"-"`
 	// Catalog is what Packed holds, and Queues its queues by key.
@@ -190,7 +190,7 @@
 
 func newState() *state {
 	st := &state{
-		Jobs: map[spec.ID]*JobState{}, Workers: map[weir.InstanceID]*Worker{},
+		Jobs: map[spec.JobID]*JobState{}, Workers: map[weir.InstanceID]*Worker{},
 		Waves: map[int64]*Wave{}, Orders: map[string]*MachineOperation{},
 	}
 	st.index()
@@ -199,8 +199,8 @@
 
 // index rebuilds what follows from the rest.
 func (st *state) index() {
-	st.Active = map[spec.ID]bool{}
-	st.ByQueue = map[string]map[spec.ID]bool{}
+	st.Active = map[spec.JobID]bool{}
+	st.ByQueue = map[string]map[spec.JobID]bool{}
 	st.Runs = map[weir.InstanceID]map[RunKey]spec.Resources{}
 	st.Loads = map[weir.InstanceID]WorkerLoad{}
 	st.indexQueues()
@@ -235,7 +235,7 @@
 	}
 	jobs := st.ByQueue[js.Spec.Queue]
 	if jobs == nil {
-		jobs = map[spec.ID]bool{}
+		jobs = map[spec.JobID]bool{}
 		st.ByQueue[js.Spec.Queue] = jobs
 	}
 	jobs[js.Spec.ID] = true
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -202,7 +202,7 @@
 	return taken
 }
 
-func (st *state) applyCancel(at time.Time, id spec.ID) Answer {
+func (st *state) applyCancel(at time.Time, id spec.JobID) Answer {
 	js := st.Jobs[id]
 	if js == nil {
 		return refused("unknown job")
@@ -233,7 +233,7 @@
 	delete(st.Active, js.Spec.ID)
 }
 
-func (st *state) applyForget(ids []spec.ID) Answer {
+func (st *state) applyForget(ids []spec.JobID) Answer {
 	for _, id := range ids {
 		if js := st.Jobs[id]; js != nil && js.Phase.Over() && js.Placed == 0 {
 			delete(st.Jobs, id)
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -70,23 +70,23 @@
 }
 
 func (fx *fixture) submit(id string, steps ...spec.Step) {
-	fx.taken(Change{Submit: &spec.Job{ID: spec.ID(id), Queue: "h/q/", Text: "text", Steps: steps}})
+	fx.taken(Change{Submit: &spec.Job{ID: spec.JobID(id), Queue: "h/q/", Text: "text", Steps: steps}})
 }
 
 func (fx *fixture) phase(id string) Phase {
 	var ph Phase
-	fx.sr.Read(func(rd Reader) { ph = rd.Job(spec.ID(id)).Phase })
+	fx.sr.Read(func(rd Reader) { ph = rd.Job(spec.JobID(id)).Phase })
 	return ph
 }
 
 func start(job string, step, index, run, worker int) Change {
 	return Change{Start: &Start{
-		Task: spec.TaskRef{Job: spec.ID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
+		Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
 	}}
 }
 
 func end(job string, step, index, run int, how How) Change {
-	return Change{End: &End{Task: spec.TaskRef{Job: spec.ID(job), Step: step, Index: index}, Run: run, How: how}}
+	return Change{End: &End{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, How: how}}
 }
 
 var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
@@ -148,7 +148,7 @@
 	fx := newFixture(t)
 	fx.submit("a", one)
 	fx.taken(start("a", 0, 0, 1, 0))
-	id := spec.ID("a")
+	id := spec.JobID("a")
 	fx.taken(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"))
 	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1) })
@@ -292,7 +292,7 @@
 			case 4, 5, 6:
 				fx.apply(end(job, step, index, run, rapid.SampledFrom(hows).Draw(rt, "how")))
 			case 7:
-				id := spec.ID(job)
+				id := spec.JobID(job)
 				fx.apply(Change{Cancel: &id})
 			case 8:
 				fx.apply(Change{Leave: &Leave{ID: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1}})
