--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -73,30 +73,30 @@
 	Born   int64           `json:"b"`
 }
 
-// How tells how a run ended.
-type How string
+// EndReason tells how a run ended.
+type EndReason string
 
 // The ways a run ends.
 const (
-	EndDone   How = "done"
-	EndFailed How = "failed"
+	EndDone   EndReason = "done"
+	EndFailed EndReason = "failed"
 	// EndStopped, EndLapsed, EndBroken and EndAlone are a worker's words for
 	// runs that ended through no fault of the task.
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed"
-	EndBroken  How = "broken"
-	EndAlone   How = "alone"
+	EndStopped EndReason = "stopped"
+	EndLapsed  EndReason = "lapsed"
+	EndBroken  EndReason = "broken"
+	EndAlone   EndReason = "alone"
 	// EndLost says that the run is surely over and has left no end.
-	EndLost How = "lost"
+	EndLost EndReason = "lost"
 	// EndRefused says that the worker refused to start it.
-	EndRefused How = "refused"
+	EndRefused EndReason = "refused"
 )
 
 // End is the end of one run.
 type End struct {
 	Task       spec.TaskRef `json:"t"`
 	Run        int          `json:"r"`
-	How        How          `json:"h"`
+	How        EndReason    `json:"h"`
 	Checkpoint string       `json:"cp,omitempty"`
 }
 
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -85,7 +85,7 @@
 	}}
 }
 
-func end(job string, step, index, run int, how How) Change {
+func end(job string, step, index, run int, how EndReason) Change {
 	return Change{End: &End{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, How: how}}
 }
 
@@ -281,7 +281,7 @@
 		for job := range 3 {
 			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Resources: spec.Resources{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
 		}
-		hows := []How{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
+		hows := []EndReason{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			job := fmt.Sprint("j", rapid.IntRange(0, 2).Draw(rt, "job"))
 			step, index := rapid.IntRange(0, 1).Draw(rt, "step"), rapid.IntRange(0, 1).Draw(rt, "index")
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -130,7 +130,7 @@
 	return now
 }
 
-func (wk *Worker) end(now time.Time, key weir.RunKey, how store.How, checkpoint string) {
+func (wk *Worker) end(now time.Time, key weir.RunKey, how store.EndReason, checkpoint string) {
 	wk.worked += wk.runs[key].coreSeconds(now)
 	delete(wk.runs, key)
 	wk.last[key.Task] = max(wk.last[key.Task], key.Run)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -261,7 +261,7 @@
 		if ss.recording {
 			continue
 		}
-		out.Ends = append(out.Ends, store.End{Task: en.Task, Run: en.Run, How: store.How(en.How), Checkpoint: en.Checkpoint})
+		out.Ends = append(out.Ends, store.End{Task: en.Task, Run: en.Run, How: store.EndReason(en.How), Checkpoint: en.Checkpoint})
 		out.Number = en.Number
 	}
 	current := make(map[weir.RunKey]bool, len(placed))
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func (mw *modelWorker) end(key weir.RunKey, how store.How) {
+func (mw *modelWorker) end(key weir.RunKey, how store.EndReason) {
 	delete(mw.runs, key)
 	mw.last[key.Task] = max(mw.last[key.Task], key.Run)
 	mw.number++
