--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -345,8 +345,8 @@
 	ssCtx, cancel := context.WithCancel(ctx)
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
-		Life:  weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
-		Token: re.term, Lease: ow.Lease, Workers: ow.Workers, Leads: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
+		Worker: weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
+		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leads: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
 		LapsesBy: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
 	at.ss.Changed = func() { ow.changed(at) }
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -58,7 +58,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	ans, err := ss.Workers.Start(callCtx, ss.Life, order)
+	ans, err := ss.Workers.Start(callCtx, ss.Worker, order)
 	now := ss.Clock.Now()
 	metrics.GetOrCreateHistogram("weir_worker_start_seconds").Update(now.Sub(sentAt).Seconds())
 	ss.mu.Lock()
@@ -73,7 +73,7 @@
 	ss.mu.Unlock()
 	if err != nil || ans.Refusal != weir.RefusedNone {
 		_ = ss.Logger.Log("level", "warn", "msg", "start not confirmed", "job", order.Task.Job, "task", order.Task,
-			"run", order.RunKey.Run, "worker", ss.Life.ID, "refusal", string(ans.Refusal), "err", err)
+			"run", order.RunKey.Run, "worker", ss.Worker.ID, "refusal", string(ans.Refusal), "err", err)
 		ss.Changed()
 	}
 }
@@ -91,7 +91,7 @@
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		ans, err := ss.Workers.Stop(callCtx, ss.Life, key, ss.Token)
+		ans, err := ss.Workers.Stop(callCtx, ss.Worker, key, ss.Token)
 		if err == nil && ans.Refusal == weir.RefusedNone {
 			ss.mu.Lock()
 			rn.stopAcked = ss.Clock.Now()
@@ -103,7 +103,7 @@
 			return
 		}
 		_ = ss.Logger.Log("level", "warn", "msg", "stop not confirmed", "job", key.Task.Job, "task", key.Task,
-			"run", key.Run, "worker", ss.Life.ID, "refusal", string(ans.Refusal), "err", err)
+			"run", key.Run, "worker", ss.Worker.ID, "refusal", string(ans.Refusal), "err", err)
 	})
 }
 
@@ -115,9 +115,9 @@
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		if _, err := ss.Workers.Pace(callCtx, ss.Life, key, percent, ss.Token); err != nil {
+		if _, err := ss.Workers.Pace(callCtx, ss.Worker, key, percent, ss.Token); err != nil {
 			_ = ss.Logger.Log("level", "warn", "msg", "pace not confirmed", "task", key.Task, "run", key.Run,
-				"worker", ss.Life.ID, "percent", percent, "err", err)
+				"worker", ss.Worker.ID, "percent", percent, "err", err)
 		}
 	})
 }
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -40,7 +40,7 @@
 	ss.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, order.Wait+renewGrace)
 	defer cancel()
-	rep, err := ss.Workers.Renew(callCtx, ss.Life, order)
+	rep, err := ss.Workers.Renew(callCtx, ss.Worker, order)
 	if ctx.Err() != nil {
 		return false, false
 	}
@@ -63,9 +63,9 @@
 	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.recorded}
 	ss.mu.Unlock()
 	sentAt := ss.Clock.Now()
-	rep, err := ss.Workers.Renew(callCtx, ss.Life, order)
+	rep, err := ss.Workers.Renew(callCtx, ss.Worker, order)
 	if err != nil {
-		_ = ss.Logger.Log("level", "debug", "msg", "look not answered", "worker", ss.Life.ID, "err", err)
+		_ = ss.Logger.Log("level", "debug", "msg", "look not answered", "worker", ss.Worker.ID, "err", err)
 		return
 	}
 	ss.takeReport(sentAt, rep)
@@ -81,8 +81,8 @@
 	}
 	ss.mu.Unlock()
 	if first {
-		_ = ss.Logger.Log("level", "warn", "msg", "worker does not answer", "worker", ss.Life.ID,
-			"address", ss.Life.Address, "err", err)
+		_ = ss.Logger.Log("level", "warn", "msg", "worker does not answer", "worker", ss.Worker.ID,
+			"address", ss.Worker.Address, "err", err)
 	}
 	ss.Changed()
 }
@@ -91,12 +91,12 @@
 func (ss *Session) takeReport(sentAt time.Time, rep weir.WorkerReport) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	if rep.Born != 0 && rep.Born != ss.Life.Born {
+	if rep.Born != 0 && rep.Born != ss.Worker.Born {
 		ss.otherLife = true
 		return true
 	}
 	if !ss.failingAt.IsZero() {
-		_ = ss.Logger.Log("level", "info", "msg", "worker answers again", "worker", ss.Life.ID)
+		_ = ss.Logger.Log("level", "info", "msg", "worker answers again", "worker", ss.Worker.ID)
 		ss.failingAt = time.Time{}
 	}
 	ss.basis(rep.Clock, sentAt)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -85,7 +85,7 @@
 
 // Session deals with one life of a worker. Set the exported fields before Run.
 type Session struct {
-	Life    weir.WorkerLife
+	Worker  weir.WorkerLife
 	Token   uint64
 	Lease   time.Duration
 	Workers weir.TaskWorkers
@@ -117,7 +117,7 @@
 }
 
 // String is the step's name in logs.
-func (ss *Session) String() string { return "session with " + string(ss.Life.ID) }
+func (ss *Session) String() string { return "session with " + string(ss.Worker.ID) }
 
 // Default prepares the session.
 func (ss *Session) Default() error {
