--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -42,7 +42,7 @@
 }
 
 // tellEnded logs the jobs that recorded ends have brought to theirs.
-func (ow *Scheduler) tellEnded(ends []store.End) {
+func (ow *Scheduler) tellEnded(ends []store.RunEnd) {
 	told := map[weir.JobID]bool{}
 	ow.Store.Read(func(rd store.Reader) {
 		for _, en := range ends {
@@ -86,7 +86,7 @@
 		_, running := at.ss.Running()
 		for _, rt := range running {
 			if _, here := rd.Runs(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
-				changes = append(changes, store.Change{End: &store.End{
+				changes = append(changes, store.Change{End: &store.RunEnd{
 					Task: rt.Task, Run: rt.Run, How: store.EndLost, Checkpoint: rt.Checkpoint,
 				}})
 			}
--- a/internal/job/scheduler/health.go
+++ b/internal/job/scheduler/health.go
@@ -49,7 +49,7 @@
 }
 
 // noteEnd learns from the end of a run.
-func (ow *Scheduler) noteEnd(re *reign, id weir.InstanceID, en store.End, now time.Time) {
+func (ow *Scheduler) noteEnd(re *reign, id weir.InstanceID, en store.RunEnd, now time.Time) {
 	hl := re.healthOf(id)
 	switch en.How {
 	case store.EndDone:
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -25,7 +25,7 @@
 	Join    *Worker           `json:"join,omitempty"`
 	Leave   *Leave            `json:"leave,omitempty"`
 	Start   *Start            `json:"st,omitempty"`
-	End     *End              `json:"end,omitempty"`
+	End     *RunEnd           `json:"end,omitempty"`
 	Forget  []spec.JobID      `json:"forget,omitempty"`
 	Wave    *Wave             `json:"wave,omitempty"`
 	Machine *MachineOperation `json:"mach,omitempty"`
@@ -92,8 +92,8 @@
 	EndRefused EndReason = "refused"
 )
 
-// End is the end of one run.
-type End struct {
+// RunEnd is the end of one run.
+type RunEnd struct {
 	Task       spec.TaskRef `json:"t"`
 	Run        int          `json:"r"`
 	How        EndReason    `json:"h"`
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -275,7 +275,7 @@
 	return taken
 }
 
-func (st *state) applyEnd(at time.Time, en *End) Answer {
+func (st *state) applyEnd(at time.Time, en *RunEnd) Answer {
 	js := st.Jobs[en.Task.Job]
 	if js == nil || js.Rounds == nil {
 		return refused("job is over")
@@ -309,7 +309,7 @@
 
 // taskFailed counts a failure. A gang fails once a run, however many of its
 // members say so.
-func (st *state) taskFailed(at time.Time, js *JobState, en *End, tk *Task, step spec.Step) {
+func (st *state) taskFailed(at time.Time, js *JobState, en *RunEnd, tk *Task, step spec.Step) {
 	if step.Gang {
 		tk = &js.Rounds[en.Task.Occurrence][en.Task.Step].Tasks[0]
 	}
