--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -77,7 +77,7 @@
 		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, Lazy: true,
 	}
 	ho.roster = &roster.Roster{
-		Self: self.ID, Holder: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
+		Self: self.ID, HoldsLog: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
 	}
 	com := &scheduler.Committer{Log: ho.node, Wall: wall}
 	own := &scheduler.Scheduler{
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -48,10 +48,10 @@
 type Roster struct {
 	// Self is this process's id, which is also its address for others.
 	Self string
-	// Holder says that this process holds the log.
-	Holder bool
-	Seeds  []string
-	Links  *links.Links
+	// HoldsLog says that this process holds the log.
+	HoldsLog bool
+	Seeds    []string
+	Links    *links.Links
 	// Log is nil where this process does not hold it.
 	Log Log
 	// Voters is how many voters there should be.
@@ -69,7 +69,7 @@
 // Default makes the seeds known.
 func (ro *Roster) Default() error {
 	ro.holders = map[string]bool{}
-	if ro.Holder {
+	if ro.HoldsLog {
 		ro.holders[ro.Self] = true
 	}
 	for _, id := range ro.Seeds {
@@ -176,7 +176,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var list jobapi.Listing
-	if err := ro.Links.Call(callCtx, id, jobapi.Directory, jobapi.Introduction{Holder: ro.Holder, ID: ro.Self}, &list); err != nil {
+	if err := ro.Links.Call(callCtx, id, jobapi.Directory, jobapi.Introduction{Holder: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
 		return
 	}
