--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -53,7 +53,7 @@
 		ss.dropStart(order.RunKey)
 		return
 	}
-	if !ss.Leads.Leads() {
+	if !ss.Leadership.Leads() {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -86,7 +86,7 @@
 	}
 	rn.stopSent = now
 	ss.queue(func(ctx context.Context) {
-		if !ss.Leads.Leads() {
+		if !ss.Leadership.Leads() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -110,7 +110,7 @@
 // Pace orders the share at which a run works.
 func (ss *Session) Pace(key weir.RunKey, percent int) {
 	ss.queue(func(ctx context.Context) {
-		if !ss.Leads.Leads() {
+		if !ss.Leadership.Leads() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -22,7 +22,7 @@
 // renewOnce sends one renewal and takes its answer; fresh says that it listed
 // new ends.
 func (ss *Session) renewOnce(ctx context.Context) (answered, fresh bool) {
-	if !ss.Leads.Leads() {
+	if !ss.Leadership.Leads() {
 		return false, false
 	}
 	ss.mu.Lock()
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -85,13 +85,13 @@
 
 // Session deals with one life of a worker. Set the exported fields before Run.
 type Session struct {
-	Worker  weir.WorkerLife
-	Token   uint64
-	Lease   time.Duration
-	Workers weir.TaskWorkers
-	Leads   weir.Authority
-	Clock   weir.Clock
-	Logger  log.Logger
+	Worker     weir.WorkerLife
+	Token      uint64
+	Lease      time.Duration
+	Workers    weir.TaskWorkers
+	Leadership weir.Authority
+	Clock      weir.Clock
+	Logger     log.Logger
 	// LapsesBy is when a lease that an earlier leader gave has surely lapsed.
 	LapsesBy time.Time
 	// Changed tells the owner that there is something to reconcile.
