--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -24,7 +24,7 @@
 	Cancel  *spec.JobID       `json:"can,omitempty"`
 	Join    *Worker           `json:"join,omitempty"`
 	Leave   *Leave            `json:"leave,omitempty"`
-	Start   *Start            `json:"st,omitempty"`
+	Start   *RunStart         `json:"st,omitempty"`
 	End     *RunEnd           `json:"end,omitempty"`
 	Forget  []spec.JobID      `json:"forget,omitempty"`
 	Wave    *Wave             `json:"wave,omitempty"`
@@ -64,9 +64,9 @@
 	Reason string          `json:"why"`
 }
 
-// Start is the intent to start a run. It is committed before the order is
+// RunStart is the intent to start a run. It is committed before the order is
 // sent, so that every later leader knows where a run may be.
-type Start struct {
+type RunStart struct {
 	Task   spec.TaskRef    `json:"t"`
 	Run    int             `json:"r"`
 	Worker weir.InstanceID `json:"w"`
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -242,7 +242,7 @@
 	return taken
 }
 
-func (st *state) applyStart(at time.Time, sa *Start) Answer {
+func (st *state) applyStart(at time.Time, sa *RunStart) Answer {
 	js := st.Jobs[sa.Task.Job]
 	if js == nil || js.Phase.Over() {
 		return refused("job is over")
