--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -347,7 +347,7 @@
 	at.ss = &session.Session{
 		Worker: weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
 		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leadership: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
-		LapsesBy: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
+		PriorLeaseExpiry: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
 	at.ss.Changed = func() { ow.changed(at) }
 	if err := at.ss.Default(); err != nil {
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -92,8 +92,8 @@
 	Leadership weir.Authority
 	Clock      weir.Clock
 	Logger     log.Logger
-	// LapsesBy is when a lease that an earlier leader gave has surely lapsed.
-	LapsesBy time.Time
+	// PriorLeaseExpiry is when a lease that an earlier leader gave has surely lapsed.
+	PriorLeaseExpiry time.Time
 	// Changed tells the owner that there is something to reconcile.
 	Changed func()
 
@@ -127,7 +127,7 @@
 	ss.runs = map[weir.RunKey]*run{}
 	ss.wake = make(chan struct{}, 1)
 	ss.orders = make(chan func(ctx context.Context), orderSlots)
-	ss.lapsesBy = ss.LapsesBy
+	ss.lapsesBy = ss.PriorLeaseExpiry
 	return nil
 }
 
