--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -23,7 +23,7 @@
 	Submit  *spec.Job         `json:"sub,omitempty"`
 	Cancel  *spec.JobID       `json:"can,omitempty"`
 	Join    *Worker           `json:"join,omitempty"`
-	Leave   *Leave            `json:"leave,omitempty"`
+	Leave   *WorkerLeave      `json:"leave,omitempty"`
 	Start   *RunStart         `json:"st,omitempty"`
 	End     *RunEnd           `json:"end,omitempty"`
 	Forget  []spec.JobID      `json:"forget,omitempty"`
@@ -57,8 +57,8 @@
 	return wk == other
 }
 
-// Leave ends one life of a worker: nothing runs there any more.
-type Leave struct {
+// WorkerLeave ends one life of a worker: nothing runs there any more.
+type WorkerLeave struct {
 	ID     weir.InstanceID `json:"id"`
 	Born   int64           `json:"born"`
 	Reason string          `json:"why"`
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func (st *state) applyLeave(at time.Time, lv *Leave) Answer {
+func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Answer {
 	wk := st.Workers[lv.ID]
 	if wk == nil || wk.Born != lv.Born {
 		return refused("not the present life")
