--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// LeaseTime is how long an endpoint is leased from its announcement on.
-	LeaseTime = 3 * time.Second
+	// LeaseDuration is how long an endpoint is leased from its announcement on.
+	LeaseDuration = 3 * time.Second
 	// AnnounceEvery is when an endpoint announces itself again.
 	AnnounceEvery = time.Second
 
@@ -34,7 +34,7 @@
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
-	wk.expires = now.Add(LeaseTime)
+	wk.expires = now.Add(LeaseDuration)
 	wk.leaving = ann.State == endpoint.Leaving
 	wk.seen = max(wk.seen, ann.SeenView)
 	wk.reported = ann.InFlight
@@ -47,7 +47,7 @@
 		tb.pumpFor(now, wk)
 	}
 	return endpoint.Answer{
-		Granted: true, LeaseMillis: LeaseTime.Milliseconds(), EveryMillis: AnnounceEvery.Milliseconds(),
+		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), EveryMillis: AnnounceEvery.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
 		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), Settled: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
 	}
--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -101,7 +101,7 @@
 	require.False(t, tb.Sweep("e", true)[0].Up)
 
 	tb, clk = testTable(t, 1)
-	clk.Advance(LeaseTime)
+	clk.Advance(LeaseDuration)
 	_, err = tb.TryAcquire(request(clk))
 	require.True(t, errkind.Is(err, KindNoSlot))
 	require.False(t, tb.Sweep("e", false)[0].Up)
