--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -349,7 +349,7 @@
 		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leadership: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
 		PriorLeaseExpiry: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
-	at.ss.Changed = func() { ow.changed(at) }
+	at.ss.OnChange = func() { ow.changed(at) }
 	if err := at.ss.Default(); err != nil {
 		_ = ow.Logger.Log("level", "error", "msg", "session not opened", "worker", wk.ID, "err", err)
 	}
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -54,7 +54,7 @@
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	at := &attended{worker: store.Worker{ID: "w0", Born: 1}}
 	at.ss = &session.Session{
-		Worker: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, Changed: func() {}, Workers: wk,
+		Worker: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
 	require.NoError(t, at.ss.Default())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -35,7 +35,7 @@
 		rn.dropped = true
 	}
 	ss.mu.Unlock()
-	ss.Changed()
+	ss.OnChange()
 }
 
 func (ss *Session) sendStart(ctx context.Context, order weir.RunOrder) {
@@ -74,7 +74,7 @@
 	if err != nil || ans.Refusal != weir.RefusedNone {
 		_ = ss.Logger.Log("level", "warn", "msg", "start not confirmed", "job", order.Task.Job, "task", order.Task,
 			"run", order.RunKey.Run, "worker", ss.Worker.ID, "refusal", string(ans.Refusal), "err", err)
-		ss.Changed()
+		ss.OnChange()
 	}
 }
 
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -50,7 +50,7 @@
 	}
 	fresh = ss.takeReport(sentAt, rep)
 	if fresh || first {
-		ss.Changed()
+		ss.OnChange()
 	}
 	return true, fresh
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	ss.takeReport(sentAt, rep)
-	ss.Changed()
+	ss.OnChange()
 }
 
 func (ss *Session) renewFailed(err error) {
@@ -84,7 +84,7 @@
 		_ = ss.Logger.Log("level", "warn", "msg", "worker does not answer", "worker", ss.Worker.ID,
 			"address", ss.Worker.Address, "err", err)
 	}
-	ss.Changed()
+	ss.OnChange()
 }
 
 // takeReport stores a report and reports whether it has new ends.
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -94,8 +94,8 @@
 	Logger     log.Logger
 	// PriorLeaseExpiry is when a lease that an earlier leader gave has surely lapsed.
 	PriorLeaseExpiry time.Time
-	// Changed tells the owner that there is something to reconcile.
-	Changed func()
+	// OnChange tells the owner that there is something to reconcile.
+	OnChange func()
 
 	mu       sync.Mutex
 	runs     map[weir.RunKey]*run
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -71,7 +71,7 @@
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
 		Worker: weir.WorkerLife{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: always{},
-		Clock: clk, Changed: func() {},
+		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
 	return ss, fw
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -117,7 +117,7 @@
 	for _, mw := range wd.workers {
 		ss := &Session{
 			Worker: weir.WorkerLife{ID: mw.id, Born: 1}, Token: wd.term, Lease: exploreLease, Workers: wd, Leadership: always{}, Clock: wd.clk,
-			Logger: log.NewNopLogger(), Changed: func() {}, PriorLeaseExpiry: wd.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
+			Logger: log.NewNopLogger(), OnChange: func() {}, PriorLeaseExpiry: wd.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
 		}
 		require.NoError(wd.t, ss.Default())
 		wd.sessions = append(wd.sessions, ss)
