--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -19,10 +19,10 @@
 		changes[ix] = store.Change{End: en}
 		ow.noteEnd(re, id, *en, now)
 		delete(re.evicted, weir.RunKey{Task: en.Task, Run: en.Run})
-		metrics.GetOrCreateCounter(`weir_run_ends_total{how="` + string(en.How) + `"}`).Inc()
-		if en.How != store.EndDone {
+		metrics.GetOrCreateCounter(`weir_run_ends_total{how="` + string(en.Reason) + `"}`).Inc()
+		if en.Reason != store.EndDone {
 			_ = ow.Logger.Log("level", "info", "msg", "run ended", "job", en.Task.Job, "task", en.Task, "run", en.Run,
-				"worker", id, "how", string(en.How), "checkpoint", en.Checkpoint)
+				"worker", id, "how", string(en.Reason), "checkpoint", en.Checkpoint)
 		}
 	}
 	reply := func(_ []store.Answer, err error) {
@@ -87,7 +87,7 @@
 		for _, rt := range running {
 			if _, here := rd.Runs(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
 				changes = append(changes, store.Change{End: &store.RunEnd{
-					Task: rt.Task, Run: rt.Run, How: store.EndLost, Checkpoint: rt.Checkpoint,
+					Task: rt.Task, Run: rt.Run, Reason: store.EndLost, Checkpoint: rt.Checkpoint,
 				}})
 			}
 		}
--- a/internal/job/scheduler/health.go
+++ b/internal/job/scheduler/health.go
@@ -51,7 +51,7 @@
 // noteEnd learns from the end of a run.
 func (ow *Scheduler) noteEnd(re *reign, id weir.InstanceID, en store.RunEnd, now time.Time) {
 	hl := re.healthOf(id)
-	switch en.How {
+	switch en.Reason {
 	case store.EndDone:
 		hl.failures, hl.rest, hl.restUntil = 0, 0, time.Time{}
 		delete(re.avoid, en.Task)
--- a/internal/job/scheduler/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -85,7 +85,7 @@
 	ow := &Scheduler{Logger: log.NewNopLogger()}
 	re := &reign{health: map[weir.InstanceID]*health{}, avoid: map[spec.TaskRef]weir.InstanceID{}}
 	failed := func() {
-		ow.noteEnd(re, "w", store.RunEnd{Task: spec.TaskRef{Job: "a"}, How: store.EndFailed}, testNow)
+		ow.noteEnd(re, "w", store.RunEnd{Task: spec.TaskRef{Job: "a"}, Reason: store.EndFailed}, testNow)
 	}
 	for range suspectAfter {
 		require.False(t, re.health["w"].suspect(testNow))
@@ -97,7 +97,7 @@
 	require.True(t, re.health["w"].resting(testNow))
 	require.False(t, re.health["w"].resting(testNow.Add(restMin+time.Millisecond)))
 	require.Equal(t, weir.InstanceID("w"), re.avoid[spec.TaskRef{Job: "a"}], "the task goes elsewhere next")
-	ow.noteEnd(re, "w", store.RunEnd{Task: spec.TaskRef{Job: "a"}, How: store.EndDone}, testNow)
+	ow.noteEnd(re, "w", store.RunEnd{Task: spec.TaskRef{Job: "a"}, Reason: store.EndDone}, testNow)
 	require.False(t, re.health["w"].suspect(testNow))
 	require.Empty(t, re.avoid)
 }
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -117,7 +117,7 @@
 		require.True(t, rd.Job("a").Whole(second))
 	})
 	st = storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"),
-		store.Change{End: &store.RunEnd{Task: second.Task, Run: 1, How: store.EndRefused}})
+		store.Change{End: &store.RunEnd{Task: second.Task, Run: 1, Reason: store.EndRefused}})
 	ow, re, at, wk := idleWorker(t, st, weir.RunningTask{RunKey: first})
 	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	require.Eventually(t, func() bool { return len(wk.stopped()) > 0 }, 10*time.Second, time.Millisecond)
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -96,7 +96,7 @@
 type RunEnd struct {
 	Task       spec.TaskRef `json:"t"`
 	Run        int          `json:"r"`
-	How        EndReason    `json:"h"`
+	Reason     EndReason    `json:"h"`
 	Checkpoint string       `json:"cp,omitempty"`
 }
 
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -292,9 +292,9 @@
 	switch {
 	case tk.Done:
 		// Another member's end stood for the whole gang.
-	case en.How == EndDone && !step.LongRunning:
+	case en.Reason == EndDone && !step.LongRunning:
 		st.taskDone(at, js, en.Task, tk, step)
-	case en.How == EndFailed && !step.LongRunning:
+	case en.Reason == EndFailed && !step.LongRunning:
 		st.taskFailed(at, js, en, tk, step)
 	}
 	st.settle(js)
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -86,7 +86,7 @@
 }
 
 func end(job string, step, index, run int, how EndReason) Change {
-	return Change{End: &RunEnd{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, How: how}}
+	return Change{End: &RunEnd{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Reason: how}}
 }
 
 var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
@@ -247,7 +247,7 @@
 
 	fx.submit("b", spec.Step{Count: 2, Gang: true, Checkpointing: true})
 	fx.taken(start("b", 0, 0, 1, 0))
-	fx.taken(Change{End: &RunEnd{Task: spec.TaskRef{Job: "b"}, Run: 1, How: EndBroken, Checkpoint: "here"}})
+	fx.taken(Change{End: &RunEnd{Task: spec.TaskRef{Job: "b"}, Run: 1, Reason: EndBroken, Checkpoint: "here"}})
 	fx.taken(start("b", 0, 0, 2, 0))
 	fx.taken(start("b", 0, 1, 2, 1))
 	fx.sr.Read(func(rd Reader) {
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -60,7 +60,7 @@
 		keys = append(keys, key)
 	}
 	for _, key := range keys {
-		st.applyEnd(at, &RunEnd{Task: key.Task, Run: key.Run, How: EndLost})
+		st.applyEnd(at, &RunEnd{Task: key.Task, Run: key.Run, Reason: EndLost})
 	}
 	delete(st.Workers, wk.ID)
 	delete(st.Runs, wk.ID)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -261,7 +261,7 @@
 		if ss.recording {
 			continue
 		}
-		out.Ends = append(out.Ends, store.RunEnd{Task: en.Task, Run: en.Run, How: store.EndReason(en.How), Checkpoint: en.Checkpoint})
+		out.Ends = append(out.Ends, store.RunEnd{Task: en.Task, Run: en.Run, Reason: store.EndReason(en.How), Checkpoint: en.Checkpoint})
 		out.Number = en.Number
 	}
 	current := make(map[weir.RunKey]bool, len(placed))
@@ -296,13 +296,13 @@
 	}
 	switch vd {
 	case verdictRefused:
-		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, How: store.EndRefused})
+		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndRefused})
 		if out.Refused == nil {
 			out.Refused = map[weir.RunKey]weir.Refusal{}
 		}
 		out.Refused[pl.Key] = rn.refusal
 	case verdictLost:
-		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, How: store.EndLost})
+		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndLost})
 	case verdictStop:
 		ss.stop(now, pl.Key, rn)
 	case verdictWait:
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -181,7 +181,7 @@
 	ss, fw, key := cancelledStart(t)
 	require.Empty(t, fw.starts)
 	out := ss.Reconcile(fw.clk.Now(), []Placed{{Key: key}})
-	require.Equal(t, []store.RunEnd{{Task: key.Task, Run: 1, How: store.EndRefused}}, out.Ends)
+	require.Equal(t, []store.RunEnd{{Task: key.Task, Run: 1, Reason: store.EndRefused}}, out.Ends)
 }
 
 // TestAnswersThatOvertakeEachOther plays a look that was asked for after a
