--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -16,8 +16,8 @@
 const (
 	// LeaseDuration is how long an endpoint is leased from its announcement on.
 	LeaseDuration = 3 * time.Second
-	// AnnounceEvery is when an endpoint announces itself again.
-	AnnounceEvery = time.Second
+	// AnnounceInterval is when an endpoint announces itself again.
+	AnnounceInterval = time.Second
 
 	// usageReportsPerSecond bounds the usage reports of the whole fleet, which
 	// all pass through the replicated log.
@@ -30,7 +30,7 @@
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	if reason := tb.refusal(ann); reason != "" {
-		return endpoint.Answer{Reason: reason, View: tb.view.Index, EveryMillis: AnnounceEvery.Milliseconds()}
+		return endpoint.Answer{Reason: reason, View: tb.view.Index, EveryMillis: AnnounceInterval.Milliseconds()}
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
@@ -47,7 +47,7 @@
 		tb.pumpFor(now, wk)
 	}
 	return endpoint.Answer{
-		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), EveryMillis: AnnounceEvery.Milliseconds(),
+		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), EveryMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
 		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), Settled: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
 	}
@@ -55,7 +55,7 @@
 
 // usageEvery returns the time between two usage reports of one endpoint.
 func usageEvery(fleet int) time.Duration {
-	return max(AnnounceEvery, time.Duration(fleet)*time.Second/usageReportsPerSecond)
+	return max(AnnounceInterval, time.Duration(fleet)*time.Second/usageReportsPerSecond)
 }
 
 // refusal tells why a lease is not granted, or "". An endpoint that has seen a
