--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -51,10 +51,10 @@
 	for ix := range tc.Count {
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(tc.Port+ix))
 		ann := jobapi.Announcement{Worker: store.Worker{
-			ID: weir.InstanceID(fmt.Sprintf("%s-%d", tc.Pool, ix)), Born: clock.Wall{}.Now().UnixMilli(), Pool: weir.PoolName(tc.Pool),
+			ID: weir.InstanceID(fmt.Sprintf("%s-%d", tc.Pool, ix)), Incarnation: clock.Wall{}.Now().UnixMilli(), Pool: weir.PoolName(tc.Pool),
 			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Capacity: spec.Resources{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
 		}}
-		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Born, Clock: clock.System{}}
+		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Incarnation, Clock: clock.System{}}
 		steps = append(steps,
 			&ops.Listener{Name: "worker " + string(ann.ID), Addr: addr, Handler: taskapi.Routes(wk)},
 			&run.Func{Name: "announcer of " + string(ann.ID), Do: func(ctx context.Context) error { return tc.announce(ctx, ann, lg) }})
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -255,7 +255,7 @@
 	if _, err := read(ctx, &ann); err != nil {
 		return unreadable(ctx, err)
 	}
-	if string(ann.ID) != ctx.Param("id") || ann.Address == "" || ann.Pool == "" || ann.Born <= 0 {
+	if string(ann.ID) != ctx.Param("id") || ann.Address == "" || ann.Pool == "" || ann.Incarnation <= 0 {
 		return write(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: "id, address, pool or born missing"})
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: &ann})
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -25,7 +25,7 @@
 // TestFollowerAnswersAnnouncementsThatChangeNothing keeps the beats of a large
 // fleet away from the leader.
 func TestFollowerAnswersAnnouncementsThatChangeNothing(t *testing.T) {
-	word := store.Worker{ID: "w1", Born: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
+	word := store.Worker{ID: "w1", Incarnation: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
 	st := store.New()
 	data, err := store.Entry{Changes: []store.Change{{Join: &word}}}.Encode()
 	require.NoError(t, err)
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -323,7 +323,7 @@
 	if failed != nil {
 		return *failed
 	}
-	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Born, "pool", wk.Pool,
+	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Incarnation, "pool", wk.Pool,
 		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Taken,
 		"reason", ans.Reason)
 	sv.Owner.Wake()
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -68,7 +68,7 @@
 		t.Cleanup(srv.Close)
 		sy.workers = append(sy.workers, wk)
 		sy.calls = append(sy.calls, jobapi.Announcement{Worker: store.Worker{
-			ID: wk.ID, Born: 1, Pool: "desk", Address: srv.Listener.Addr().String(), Capacity: spec.Resources{MilliCPU: 4000, MemoryMB: 1000},
+			ID: wk.ID, Incarnation: 1, Pool: "desk", Address: srv.Listener.Addr().String(), Capacity: spec.Resources{MilliCPU: 4000, MemoryMB: 1000},
 		}})
 	}
 	sy.start()
--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -50,7 +50,7 @@
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, evicted: map[weir.RunKey]bool{}, machines: newMachineDuty(0)}
 	for ix := range 3 {
 		id := fmt.Sprint("w", ix)
-		wk := store.Worker{ID: weir.InstanceID(id), Born: 1, Address: id, Machine: "m" + id}
+		wk := store.Worker{ID: weir.InstanceID(id), Incarnation: 1, Address: id, Machine: "m" + id}
 		key := weir.RunKey{Task: spec.TaskRef{Job: "a", Index: ix}, Run: 1}
 		apply(store.Change{Join: &wk})
 		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Born: 1}})
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -82,7 +82,7 @@
 		_ = ow.Logger.Log("level", "info", "msg", "run lost with its worker", "job", key.Task.Job, "task", key.Task,
 			"run", key.Run, "worker", wk.ID, "reason", reason)
 	}
-	if at := re.sessions[wk.ID]; at != nil && at.worker.Born == wk.Born {
+	if at := re.sessions[wk.ID]; at != nil && at.worker.Incarnation == wk.Incarnation {
 		_, running := at.ss.Running()
 		for _, rt := range running {
 			if _, here := rd.Runs(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return append(changes, store.Change{Leave: &store.WorkerLeave{ID: wk.ID, Born: wk.Born, Reason: reason}})
+	return append(changes, store.Change{Leave: &store.WorkerLeave{ID: wk.ID, Born: wk.Incarnation, Reason: reason}})
 }
 
 // DeregisterWorker ends a worker's life on its own word. It reports false where this
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -184,7 +184,7 @@
 // worker; the order follows once the state says so.
 func (ow *Scheduler) intend(re *reign, op store.MachineOperation, wk store.Worker) {
 	md := re.machines
-	op.Worker, op.Born = wk.ID, wk.Born
+	op.Worker, op.Born = wk.ID, wk.Incarnation
 	md.intent[op.Machine] = true
 	md.mine[op.Machine] = true
 	done := func([]store.Answer, error) {
@@ -213,11 +213,11 @@
 		mc := md.listed[machine]
 		return mc.State == weir.MachineUp && md.listedAt.After(md.answered[machine])
 	}
-	if md.gone[machine] == wk.Born {
+	if md.gone[machine] == wk.Incarnation {
 		return false
 	}
 	at := re.sessions[wk.ID]
-	return at != nil && at.worker.Born == wk.Born && at.ss.Usable()
+	return at != nil && at.worker.Incarnation == wk.Incarnation && at.ss.Usable()
 }
 
 func (ow *Scheduler) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
@@ -293,7 +293,7 @@
 	}
 	re.machines.gone[machine] = op.Born
 	wk, ok := rd.Worker(op.Worker)
-	if !ok || wk.Born != op.Born {
+	if !ok || wk.Incarnation != op.Born {
 		return nil
 	}
 	return ow.leave(re, rd, wk, "machine ordered away")
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -246,10 +246,10 @@
 		return true
 	}
 	at := ow.reign.sessions[ann.ID]
-	if at == nil || at.worker.Born < ann.Born {
+	if at == nil || at.worker.Incarnation < ann.Incarnation {
 		return true
 	}
-	if at.worker.Born > ann.Born || at.sequence > ann.Sequence {
+	if at.worker.Incarnation > ann.Incarnation || at.sequence > ann.Sequence {
 		return false
 	}
 	at.announced, at.sequence = now, ann.Sequence
@@ -324,7 +324,7 @@
 	}
 	for id, at := range re.sessions {
 		wk, ok := present[id]
-		if ok && wk.Born == at.worker.Born && wk.Address == at.worker.Address {
+		if ok && wk.Incarnation == at.worker.Incarnation && wk.Address == at.worker.Address {
 			at.worker = wk
 			continue
 		}
@@ -345,7 +345,7 @@
 	ssCtx, cancel := context.WithCancel(ctx)
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
-		Worker: weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
+		Worker: weir.WorkerLife{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
 		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leadership: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
 		PriorLeaseExpiry: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -95,7 +95,7 @@
 func (ow *Scheduler) order(re *reign, rd store.Reader, pl plan.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
-	if at == nil || at.worker.Born != pl.Born || js == nil || js.Phase.Over() {
+	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Over() {
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
@@ -262,14 +262,14 @@
 			continue
 		}
 		wk, ok := rd.Worker(id)
-		if !ok || wk.Draining || wk.Born != at.worker.Born || !at.ss.Usable() || re.machines.closed(rd, wk.Machine) {
+		if !ok || wk.Draining || wk.Incarnation != at.worker.Incarnation || !at.ss.Usable() || re.machines.closed(rd, wk.Machine) {
 			continue
 		}
 		hl := re.health[id]
 		if hl.resting(now) {
 			continue
 		}
-		pw := plan.Worker{ID: id, Born: wk.Born, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
+		pw := plan.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
 		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.Filling
 		workers = append(workers, pw)
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -52,7 +52,7 @@
 	wk := &idle{running: running}
 	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
-	at := &attended{worker: store.Worker{ID: "w0", Born: 1}}
+	at := &attended{worker: store.Worker{ID: "w0", Incarnation: 1}}
 	at.ss = &session.Session{
 		Worker: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
@@ -75,7 +75,7 @@
 	all := []store.Change{}
 	for ix := range 2 {
 		id := fmt.Sprint("w", ix)
-		all = append(all, store.Change{Join: &store.Worker{ID: weir.InstanceID(id), Born: 1, Address: id, Machine: "m" + id}})
+		all = append(all, store.Change{Join: &store.Worker{ID: weir.InstanceID(id), Incarnation: 1, Address: id, Machine: "m" + id}})
 	}
 	data, err := store.Entry{At: testNow, Changes: append(all, changes...)}.Encode()
 	require.NoError(t, err)
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -34,16 +34,16 @@
 // Worker is one life of an instance that runs tasks.
 type Worker struct {
 	ID weir.InstanceID `json:"id"`
-	// Born tells the lives of one id apart: the time of the life's start in
+	// Incarnation tells the lives of one id apart: the time of the life's start in
 	// milliseconds since 1970.
-	Born     int64          `json:"born"`
-	Machine  string         `json:"machine,omitempty"`
-	Pool     weir.PoolName  `json:"pool"`
-	Address  string         `json:"addr"`
-	Zone     weir.Zone      `json:"zone"`
-	Kind     string         `json:"kind,omitempty"`
-	Rack     string         `json:"rack,omitempty"`
-	Capacity spec.Resources `json:"room"`
+	Incarnation int64          `json:"born"`
+	Machine     string         `json:"machine,omitempty"`
+	Pool        weir.PoolName  `json:"pool"`
+	Address     string         `json:"addr"`
+	Zone        weir.Zone      `json:"zone"`
+	Kind        string         `json:"kind,omitempty"`
+	Rack        string         `json:"rack,omitempty"`
+	Capacity    spec.Resources `json:"room"`
 	// Draining workers get no new tasks.
 	Draining bool `json:"draining,omitempty"`
 	// Sequence rises with each announcement of a life, so that word that was
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -257,7 +257,7 @@
 	case tk.Placed():
 		// Also where copies are allowed: they are not placed yet.
 		return refused("a run is not over")
-	case wk == nil || wk.Born != sa.Born:
+	case wk == nil || wk.Incarnation != sa.Born:
 		return refused("worker is gone")
 	case wk.Draining:
 		return refused("worker drains")
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -44,7 +44,7 @@
 
 func testWorker(ix int, born int64) *Worker {
 	return &Worker{
-		ID: weir.InstanceID(fmt.Sprint("w", ix)), Born: born, Pool: "desk", Address: fmt.Sprint("addr", ix),
+		ID: weir.InstanceID(fmt.Sprint("w", ix)), Incarnation: born, Pool: "desk", Address: fmt.Sprint("addr", ix),
 		Machine: fmt.Sprint("m", ix), Capacity: spec.Resources{MilliCPU: 8000},
 	}
 }
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -9,10 +9,10 @@
 // only where the id is the same, and the leader asks the new life about it.
 func (st *state) applyJoin(at time.Time, wk *Worker) Answer {
 	old := st.Workers[wk.ID]
-	if old != nil && old.Born > wk.Born {
+	if old != nil && old.Incarnation > wk.Incarnation {
 		return refused("an earlier life")
 	}
-	if old != nil && old.Born == wk.Born && old.Sequence > wk.Sequence {
+	if old != nil && old.Incarnation == wk.Incarnation && old.Sequence > wk.Sequence {
 		return refused("earlier word of this life")
 	}
 	for id, other := range st.Workers {
@@ -20,12 +20,12 @@
 		if id == wk.ID || !same {
 			continue
 		}
-		if other.Born > wk.Born {
+		if other.Incarnation > wk.Incarnation {
 			return refused("another worker has its place")
 		}
 		st.endLife(at, other)
 	}
-	if old != nil && old.Born != wk.Born {
+	if old != nil && old.Incarnation != wk.Incarnation {
 		st.moveRuns(old, wk)
 	}
 	fresh := *wk
@@ -39,14 +39,14 @@
 func (st *state) moveRuns(old, wk *Worker) {
 	for key := range st.Runs[old.ID] {
 		if tk := st.Jobs[key.Task.Job].Task(key.Task); tk != nil {
-			tk.Born = wk.Born
+			tk.Born = wk.Incarnation
 		}
 	}
 }
 
 func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Answer {
 	wk := st.Workers[lv.ID]
-	if wk == nil || wk.Born != lv.Born {
+	if wk == nil || wk.Incarnation != lv.Born {
 		return refused("not the present life")
 	}
 	st.endLife(at, wk)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -122,7 +122,7 @@
 	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.life))
 	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Room: mc.Room}
 	wk := store.Worker{
-		ID: mc.id, Born: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Room,
+		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Room,
 	}
 	fl.mu.Unlock()
 	fl.Announce(wk)
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -131,7 +131,7 @@
 	if ss.Lapsed(now) {
 		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Born: 1}})
 		// It announces itself again, and gets a session of its own.
-		wd.apply(store.Change{Join: &store.Worker{ID: id, Born: 1, Address: string(id)}})
+		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
 		wd.reopen(ix)
 		return
 	}
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -94,7 +94,7 @@
 			id: id, rate: 1 - 0.02*float64(ix), origin: wd.clk.Now().Add(-time.Hour), runs: map[weir.RunKey]bool{}, last: map[weir.TaskRef]int{},
 		}
 		wd.workers = append(wd.workers, mw)
-		wd.apply(store.Change{Join: &store.Worker{ID: id, Born: 1, Address: string(id)}})
+		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
 	}
 	wd.apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}})
 	wd.lead()
