--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -264,7 +264,7 @@
 	hasty := request(clk)
 	hasty.Deadline = clk.Now().Add(time.Second)
 	_, err := tb.Acquire(context.Background(), hasty, nil)
-	require.True(t, errkind.Is(err, KindLate))
+	require.True(t, errkind.Is(err, KindWouldMissDeadline))
 	slots[0].Release(Succeeded)
 	require.NoError(t, <-first)
 	require.NoError(t, <-second)
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -33,12 +33,12 @@
 
 // The kinds of errors; none of them lets the request run.
 const (
-	KindNoService Kind = "no such service"
-	KindFull      Kind = "queue is full"
-	KindLate      Kind = "would end past its deadline"
-	KindDeadline  Kind = "waited until its deadline"
-	KindNoSlot    Kind = "no free slot"
-	KindStopping  Kind = "entry is stopping"
+	KindNoService         Kind = "no such service"
+	KindFull              Kind = "queue is full"
+	KindWouldMissDeadline Kind = "would end past its deadline"
+	KindDeadline          Kind = "waited until its deadline"
+	KindNoSlot            Kind = "no free slot"
+	KindStopping          Kind = "entry is stopping"
 )
 
 // Error is the error type of this package.
@@ -227,7 +227,7 @@
 		return nil, nil, &Error{Op: "place", Kind: KindFull}
 	}
 	if now.Add(sq.expectedEnd(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
-		return nil, nil, &Error{Op: "place", Kind: KindLate}
+		return nil, nil, &Error{Op: "place", Kind: KindWouldMissDeadline}
 	}
 	wt := &waiter{req: req, granted: make(chan *Slot, 1)}
 	la.push(wt)
