--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return append(changes, store.Change{Leave: &store.WorkerLeave{ID: wk.ID, Born: wk.Incarnation, Reason: reason}})
+	return append(changes, store.Change{Leave: &store.WorkerLeave{ID: wk.ID, Incarnation: wk.Incarnation, Reason: reason}})
 }
 
 // DeregisterWorker ends a worker's life on its own word. It reports false where this
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -59,9 +59,9 @@
 
 // WorkerLeave ends one life of a worker: nothing runs there any more.
 type WorkerLeave struct {
-	ID     weir.InstanceID `json:"id"`
-	Born   int64           `json:"born"`
-	Reason string          `json:"why"`
+	ID          weir.InstanceID `json:"id"`
+	Incarnation int64           `json:"born"`
+	Reason      string          `json:"why"`
 }
 
 // RunStart is the intent to start a run. It is committed before the order is
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -184,8 +184,8 @@
 		require.True(t, tk.Placed())
 		require.Equal(t, int64(5), tk.Born)
 	})
-	fx.refused(Change{Leave: &WorkerLeave{ID: "w1", Born: 1}}, "not the present life")
-	fx.taken(Change{Leave: &WorkerLeave{ID: "w2", Born: 1}})
+	fx.refused(Change{Leave: &WorkerLeave{ID: "w1", Incarnation: 1}}, "not the present life")
+	fx.taken(Change{Leave: &WorkerLeave{ID: "w2", Incarnation: 1}})
 	fx.refused(start("a", 0, 2, 2, 2), "worker is gone")
 	draining := testWorker(1, 5)
 	draining.Draining = true
@@ -295,7 +295,7 @@
 				id := spec.JobID(job)
 				fx.apply(Change{Cancel: &id})
 			case 8:
-				fx.apply(Change{Leave: &WorkerLeave{ID: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1}})
+				fx.apply(Change{Leave: &WorkerLeave{ID: weir.InstanceID(fmt.Sprint("w", worker)), Incarnation: 1}})
 			case 9:
 				fx.apply(Change{Join: testWorker(worker, 1)})
 			}
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -46,7 +46,7 @@
 
 func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Answer {
 	wk := st.Workers[lv.ID]
-	if wk == nil || wk.Incarnation != lv.Born {
+	if wk == nil || wk.Incarnation != lv.Incarnation {
 		return refused("not the present life")
 	}
 	st.endLife(at, wk)
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -129,7 +129,7 @@
 	ss, now := wd.sessions[ix], wd.clk.Now()
 	id := wd.workers[ix].id
 	if ss.Lapsed(now) {
-		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Born: 1}})
+		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Incarnation: 1}})
 		// It announces itself again, and gets a session of its own.
 		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
 		wd.reopen(ix)
