--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -84,7 +84,7 @@
 
 	core      *replica.Core
 	disk      *wal.Log
-	hard      replica.Hard
+	hard      replica.HardState
 	inbox     chan replica.Message
 	proposals chan proposal
 	asks      chan func(now time.Time, core *replica.Core)
--- a/internal/state/replica/cluster_test.go
+++ b/internal/state/replica/cluster_test.go
@@ -17,7 +17,7 @@
 
 // disk is what survives a crash of one member.
 type disk struct {
-	hard    Hard
+	hard    HardState
 	snap    Snapshot
 	entries []Entry
 	commit  uint64
@@ -64,7 +64,7 @@
 		cl.ids = append(cl.ids, fmt.Sprintf("c%d", ix+1))
 	}
 	for _, id := range cl.ids {
-		cl.peers[id] = &peerState{disk: disk{hard: Hard{Disk: id + "-0"}}}
+		cl.peers[id] = &peerState{disk: disk{hard: HardState{Disk: id + "-0"}}}
 		cl.start(id)
 	}
 	return cl
@@ -94,7 +94,7 @@
 func (cl *cluster) wipe(id string) {
 	cl.crash(id)
 	cl.wipes++
-	cl.peers[id].disk = disk{hard: Hard{Learner: !cl.weakLearner, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
+	cl.peers[id].disk = disk{hard: HardState{Learner: !cl.weakLearner, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
 }
 
 // settle does what a member's core asks for. With crash set it stops at a
--- a/internal/state/replica/core.go
+++ b/internal/state/replica/core.go
@@ -36,7 +36,7 @@
 	// state that only the leader answers from.
 	Lazy bool
 
-	hard      Hard
+	hard      HardState
 	hardDirty bool
 	role      Role
 	leader    string
@@ -71,7 +71,7 @@
 }
 
 // Restore sets the state that was read from the disk.
-func (co *Core) Restore(now time.Time, hard Hard, snap Snapshot, entries []Entry) {
+func (co *Core) Restore(now time.Time, hard HardState, snap Snapshot, entries []Entry) {
 	co.hard = hard
 	co.role = Follower
 	co.log = memLog{snapIndex: snap.Index, snapTerm: snap.Term, snap: snap, entries: entries}
--- a/internal/state/replica/core_test.go
+++ b/internal/state/replica/core_test.go
@@ -119,7 +119,7 @@
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	co := &Core{ID: "c1", Members: []string{"c1", "c2", "c3"}, Election: testElection, Heartbeat: testHeartbeat, Rand: rand.New(rand.NewSource(1))}
 	now := time.Unix(1_800_000_000, 0)
-	co.Restore(now, Hard{Term: 1, Disk: "d"}, Snapshot{}, nil)
+	co.Restore(now, HardState{Term: 1, Disk: "d"}, Snapshot{}, nil)
 	var list []Entry
 	for ix := uint64(1); ix <= 5; ix++ {
 		list = append(list, Entry{Index: ix, Term: 1, Kind: EntryCommand})
--- a/internal/state/replica/members_test.go
+++ b/internal/state/replica/members_test.go
@@ -26,9 +26,9 @@
 	}
 	cl.initial = cl.ids[:voters]
 	for ix, id := range cl.ids {
-		hard := Hard{Disk: id + "-0", Initial: cl.initial}
+		hard := HardState{Disk: id + "-0", Initial: cl.initial}
 		if ix >= voters {
-			hard = Hard{Disk: id + "-0", Learner: true}
+			hard = HardState{Disk: id + "-0", Learner: true}
 		}
 		cl.peers[id] = &peerState{disk: disk{hard: hard}}
 		cl.start(id)
--- a/internal/state/replica/rules_test.go
+++ b/internal/state/replica/rules_test.go
@@ -12,7 +12,7 @@
 var ruleTime = time.Unix(1_800_000_000, 0)
 
 // loneCore returns one member of three with a log of entries of these terms.
-func loneCore(hard Hard, terms ...uint64) *Core {
+func loneCore(hard HardState, terms ...uint64) *Core {
 	co := &Core{
 		ID: "c1", Members: []string{"c1", "c2", "c3"}, Election: testElection, Heartbeat: testHeartbeat,
 		Rand: rand.New(rand.NewSource(1)),
@@ -56,7 +56,7 @@
 
 // TestLeaderCommitsOnlyItsOwnTerm is the case of figure 8 of the Raft paper.
 func TestLeaderCommitsOnlyItsOwnTerm(t *testing.T) {
-	co := loneCore(Hard{Term: 2, Disk: "d1"}, 1, 2)
+	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	co.acknowledge(2, false)
 	require.Zero(t, co.Status().Commit, "an entry of an earlier term is not committed by counting")
@@ -66,7 +66,7 @@
 
 // TestLeaderBeatsWhileItApplies takes over from a log of a thousand entries.
 func TestLeaderBeatsWhileItApplies(t *testing.T) {
-	co := loneCore(Hard{Term: 1, Disk: "d"}, slices.Repeat([]uint64{1}, 1000)...)
+	co := loneCore(HardState{Term: 1, Disk: "d"}, slices.Repeat([]uint64{1}, 1000)...)
 	co.RestoreCommit(2000)
 	require.Equal(t, uint64(1000), co.Commit(), "no further than the log reaches")
 	applied := 0
@@ -79,7 +79,7 @@
 }
 
 func TestLearnersAreNotCounted(t *testing.T) {
-	co := loneCore(Hard{Term: 2, Disk: "d1"}, 1, 2)
+	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	co.acknowledge(3, true)
 	require.Zero(t, co.Status().Commit)
@@ -90,7 +90,7 @@
 // TestLostDisksRepliesDoNotCount lets a reply of a disk that was lost arrive
 // behind the first of the new disk.
 func TestLostDisksRepliesDoNotCount(t *testing.T) {
-	co := loneCore(Hard{Term: 2, Disk: "d1"}, 1, 2)
+	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	reply := func(index uint64, disk string, learner bool) {
 		co.Step(ruleTime, Message{Kind: MsgAppendReply, From: "c2", To: "c1", Term: co.hard.Term, Index: index, Learner: learner, Disk: disk})
@@ -105,24 +105,24 @@
 func TestVoteTable(t *testing.T) {
 	cases := []struct {
 		name  string
-		hard  Hard
+		hard  HardState
 		msg   Message
 		heard bool // a leader was heard just now
 		grant bool
 	}{
-		{"better log", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 3, LogTerm: 2}, false, true},
-		{"same log", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 2, LogTerm: 2}, false, true},
-		{"shorter log", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 1, LogTerm: 2}, false, false},
-		{"longer log of an older term", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 1}, false, false},
-		{"older term", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 1, Index: 9, LogTerm: 2}, false, false},
-		{"voted for another", Hard{Term: 3, Vote: "c3", Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
-		{"voted for the same", Hard{Term: 3, Vote: "c2", Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, true},
-		{"learner", Hard{Term: 2, Learner: true, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
-		{"leader is alive", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, true, false},
-		{"pre-vote", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 3, LogTerm: 2}, false, true},
-		{"pre-vote, shorter log", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 1, LogTerm: 2}, false, false},
-		{"pre-vote, leader is alive", Hard{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 9, LogTerm: 2}, true, false},
-		{"pre-vote of a learner", Hard{Term: 2, Learner: true, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
+		{"better log", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 3, LogTerm: 2}, false, true},
+		{"same log", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 2, LogTerm: 2}, false, true},
+		{"shorter log", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 1, LogTerm: 2}, false, false},
+		{"longer log of an older term", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 1}, false, false},
+		{"older term", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 1, Index: 9, LogTerm: 2}, false, false},
+		{"voted for another", HardState{Term: 3, Vote: "c3", Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
+		{"voted for the same", HardState{Term: 3, Vote: "c2", Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, true},
+		{"learner", HardState{Term: 2, Learner: true, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
+		{"leader is alive", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 9, LogTerm: 2}, true, false},
+		{"pre-vote", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 3, LogTerm: 2}, false, true},
+		{"pre-vote, shorter log", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 1, LogTerm: 2}, false, false},
+		{"pre-vote, leader is alive", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 9, LogTerm: 2}, true, false},
+		{"pre-vote of a learner", HardState{Term: 2, Learner: true, Disk: "d"}, Message{Kind: MsgPreVote, Term: 3, Index: 9, LogTerm: 2}, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/state/replica/types.go
+++ b/internal/state/replica/types.go
@@ -63,8 +63,8 @@
 	Data  []byte    `json:"d,omitempty"`
 }
 
-// Hard is the state that must be synced before a member answers.
-type Hard struct {
+// HardState is the state that must be synced before a member answers.
+type HardState struct {
 	Term uint64 `json:"term"`
 	Vote string `json:"vote,omitempty"`
 	// Learner is set while the member is not to vote.
@@ -137,7 +137,7 @@
 	// Early may be sent before the sync (a leader's appends).
 	Early []Message
 	// Hard is to be synced if not nil.
-	Hard *Hard
+	Hard *HardState
 	// Snapshot is to be saved before Entries, if not nil; the state machine
 	// is to be set to it.
 	Snapshot *Snapshot
--- a/internal/state/wal/record.go
+++ b/internal/state/wal/record.go
@@ -23,8 +23,8 @@
 
 // record is one line of the log file: either a hard state or an entry.
 type record struct {
-	Hard  *replica.Hard  `json:"hard,omitempty"`
-	Entry *replica.Entry `json:"entry,omitempty"`
+	Hard  *replica.HardState `json:"hard,omitempty"`
+	Entry *replica.Entry     `json:"entry,omitempty"`
 	// Commit says that the entries up to an index are committed.
 	Commit uint64 `json:"commit,omitempty"`
 }
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -56,7 +56,7 @@
 
 // State is what was read from a data folder.
 type State struct {
-	Hard     replica.Hard
+	Hard     replica.HardState
 	Snapshot replica.Snapshot
 	Entries  []replica.Entry
 	// Commit is the last index that was known to be committed.
@@ -78,13 +78,13 @@
 // Format prepares an empty folder as that of a voting member of a new
 // cluster, or of a learner.
 func Format(dir string, learner bool) error {
-	return format(dir, replica.Hard{Learner: learner})
+	return format(dir, replica.HardState{Learner: learner})
 }
 
 // FormatInitial prepares an empty folder as that of a voting member of a new
 // cluster with the given voters, which are kept with the log.
 func FormatInitial(dir string, voters []string) error {
-	return format(dir, replica.Hard{Initial: voters})
+	return format(dir, replica.HardState{Initial: voters})
 }
 
 // Formatted reports whether the folder holds a log.
@@ -93,7 +93,7 @@
 	return name != "", err
 }
 
-func format(dir string, hard replica.Hard) error {
+func format(dir string, hard replica.HardState) error {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return &Error{Op: "format " + dir, Kind: KindIO, Err: err}
 	}
@@ -250,7 +250,7 @@
 
 // Append writes the hard state (if not nil), the entries, and up to which index
 // entries are known to be committed, with one sync.
-func (lg *Log) Append(hard *replica.Hard, entries []replica.Entry, commit uint64) error {
+func (lg *Log) Append(hard *replica.HardState, entries []replica.Entry, commit uint64) error {
 	var buf []byte
 	var err error
 	if hard != nil {
@@ -281,7 +281,7 @@
 
 // SaveSnapshot stores the snapshot and starts a new log file with the entries
 // behind it. A crash at any point leaves the old or the new state.
-func (lg *Log) SaveSnapshot(hard replica.Hard, snap replica.Snapshot, tail []replica.Entry) error {
+func (lg *Log) SaveSnapshot(hard replica.HardState, snap replica.Snapshot, tail []replica.Entry) error {
 	if err := writeFile(lg.dir, snapshotName, []any{snap}); err != nil {
 		return err
 	}
