--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -380,7 +380,7 @@
 	second := wait(tb, request(clk))
 	clk.Advance(1500 * time.Millisecond)
 	slots[0].Release(Succeeded)
-	require.True(t, errkind.Is(<-first, KindDeadline), "refused while the caller still waits")
+	require.True(t, errkind.Is(<-first, KindDeadlineExceeded), "refused while the caller still waits")
 	require.NoError(t, <-second)
 }
 
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -36,7 +36,7 @@
 	KindNoService         Kind = "no such service"
 	KindFull              Kind = "queue is full"
 	KindWouldMissDeadline Kind = "would end past its deadline"
-	KindDeadline          Kind = "waited until its deadline"
+	KindDeadlineExceeded  Kind = "waited until its deadline"
 	KindNoSlot            Kind = "no free slot"
 	KindStopping          Kind = "entry is stopping"
 )
@@ -194,13 +194,13 @@
 		select {
 		case slot, ok := <-wt.granted:
 			if !ok {
-				return nil, &Error{Op: "place", Kind: KindDeadline}
+				return nil, &Error{Op: "place", Kind: KindDeadlineExceeded}
 			}
 			return slot, nil
 		case <-deadline.C:
-			return tb.leave(wt, KindDeadline)
+			return tb.leave(wt, KindDeadlineExceeded)
 		case <-ctx.Done():
-			return tb.leave(wt, KindDeadline)
+			return tb.leave(wt, KindDeadlineExceeded)
 		case <-poll.C:
 			if wake != nil && wake() {
 				return tb.leave(wt, KindNoSlot)
