--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -53,7 +53,7 @@
 		wk := store.Worker{ID: weir.InstanceID(id), Incarnation: 1, Address: id, Machine: "m" + id}
 		key := weir.RunKey{Task: spec.TaskRef{Job: "a", Index: ix}, Run: 1}
 		apply(store.Change{Join: &wk})
-		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Born: 1}})
+		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Incarnation: 1}})
 		ss := &session.Session{
 			Worker: weir.WorkerLife{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: reporting{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -47,7 +47,7 @@
 	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Born: 1}
 	next := store.Worker{ID: "w2", Incarnation: 2, Address: "w2", Machine: "mw0"}
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, store.Change{Machine: &move},
-		store.Change{Join: &next}, store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a"}, Run: 1, Worker: "w2", Born: 2}})
+		store.Change{Join: &next}, store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a"}, Run: 1, Worker: "w2", Incarnation: 2}})
 	gl := &gatedLog{st: st, index: 1, gate: make(chan struct{})}
 	com := &Committer{Log: gl, Wall: clock.Wall{}}
 	require.NoError(t, com.Default())
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -37,7 +37,7 @@
 	}
 	changes := make([]store.Change, len(starts))
 	for ix, pl := range starts {
-		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Born: pl.Born}}
+		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Incarnation: pl.Born}}
 	}
 	re.planning = true
 	for _, pl := range starts {
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -88,7 +88,7 @@
 }
 
 func startAt(index int, worker weir.InstanceID) store.Change {
-	return store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a", Index: index}, Run: 1, Worker: worker, Born: 1}}
+	return store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a", Index: index}, Run: 1, Worker: worker, Incarnation: 1}}
 }
 
 // TestStartThatIsBeingOrderedIsNotStopped looks at the worker between the
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -67,10 +67,10 @@
 // RunStart is the intent to start a run. It is committed before the order is
 // sent, so that every later leader knows where a run may be.
 type RunStart struct {
-	Task   spec.TaskRef    `json:"t"`
-	Run    int             `json:"r"`
-	Worker weir.InstanceID `json:"w"`
-	Born   int64           `json:"b"`
+	Task        spec.TaskRef    `json:"t"`
+	Run         int             `json:"r"`
+	Worker      weir.InstanceID `json:"w"`
+	Incarnation int64           `json:"b"`
 }
 
 // EndReason tells how a run ended.
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -257,14 +257,14 @@
 	case tk.Placed():
 		// Also where copies are allowed: they are not placed yet.
 		return refused("a run is not over")
-	case wk == nil || wk.Incarnation != sa.Born:
+	case wk == nil || wk.Incarnation != sa.Incarnation:
 		return refused("worker is gone")
 	case wk.Draining:
 		return refused("worker drains")
 	case !js.StepReady(sa.Task.Occurrence, sa.Task.Step):
 		return refused("an earlier step is not done")
 	}
-	tk.Run, tk.Worker, tk.Born, tk.StartedAt = sa.Run, sa.Worker, sa.Born, at
+	tk.Run, tk.Worker, tk.Born, tk.StartedAt = sa.Run, sa.Worker, sa.Incarnation, at
 	js.Placed++
 	st.addRun(js, sa.Task, tk)
 	if !js.Begun {
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -81,7 +81,7 @@
 
 func start(job string, step, index, run, worker int) Change {
 	return Change{Start: &RunStart{
-		Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
+		Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Incarnation: 1,
 	}}
 }
 
@@ -190,7 +190,7 @@
 	draining := testWorker(1, 5)
 	draining.Draining = true
 	fx.taken(Change{Join: draining})
-	fx.refused(Change{Start: &RunStart{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Born: 5}}, "worker drains")
+	fx.refused(Change{Start: &RunStart{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Incarnation: 5}}, "worker drains")
 	// Word from before the drain comes late, perhaps to a later leader.
 	draining.Sequence = 7
 	fx.taken(Change{Join: draining})
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -103,7 +103,7 @@
 
 func (wd *world) place(ix, run int, ft fate) {
 	key := weir.RunKey{Task: exploredTask, Run: run}
-	if wd.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: wd.workers[ix].id, Born: 1}}) {
+	if wd.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: wd.workers[ix].id, Incarnation: 1}}) {
 		wd.sessions[ix].Start(weir.RunOrder{RunKey: key})
 		wd.send(wd.sessions[ix], ft)
 	}
