--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -236,7 +236,7 @@
 		done = append(done, wait(tb, req))
 	}
 	_, err = tb.Acquire(context.Background(), request(clk), nil)
-	require.True(t, errkind.Is(err, KindFull))
+	require.True(t, errkind.Is(err, KindQueueFull))
 	one.Release(Succeeded)
 	for _, ch := range done {
 		require.NoError(t, <-ch)
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -34,7 +34,7 @@
 // The kinds of errors; none of them lets the request run.
 const (
 	KindNoService         Kind = "no such service"
-	KindFull              Kind = "queue is full"
+	KindQueueFull         Kind = "queue is full"
 	KindWouldMissDeadline Kind = "would end past its deadline"
 	KindDeadlineExceeded  Kind = "waited until its deadline"
 	KindNoSlot            Kind = "no free slot"
@@ -224,7 +224,7 @@
 	sq := tb.queue(req.Service)
 	la := sq.lane(req.Class)
 	if la.count >= svc.QueueLength {
-		return nil, nil, &Error{Op: "place", Kind: KindFull}
+		return nil, nil, &Error{Op: "place", Kind: KindQueueFull}
 	}
 	if now.Add(sq.expectedEnd(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
 		return nil, nil, &Error{Op: "place", Kind: KindWouldMissDeadline}
