--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -29,9 +29,9 @@
 	// Run is the number of the latest run, 0 before the first.
 	Run int `json:"r,omitempty"`
 	// Worker and Born name where the run is, while it is not over.
-	Worker weir.InstanceID `json:"w,omitempty"`
-	Born   int64           `json:"b,omitempty"`
-	Done   bool            `json:"d,omitempty"`
+	Worker      weir.InstanceID `json:"w,omitempty"`
+	Incarnation int64           `json:"b,omitempty"`
+	Done        bool            `json:"d,omitempty"`
 	// Failures counts the runs that ended as failed, and FailedRun is the last
 	// of them; a gang's are kept with its first task.
 	Failures  int `json:"f,omitempty"`
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -264,7 +264,7 @@
 	case !js.StepReady(sa.Task.Occurrence, sa.Task.Step):
 		return refused("an earlier step is not done")
 	}
-	tk.Run, tk.Worker, tk.Born, tk.StartedAt = sa.Run, sa.Worker, sa.Incarnation, at
+	tk.Run, tk.Worker, tk.Incarnation, tk.StartedAt = sa.Run, sa.Worker, sa.Incarnation, at
 	js.Placed++
 	st.addRun(js, sa.Task, tk)
 	if !js.Begun {
@@ -326,7 +326,7 @@
 
 func (st *state) free(at time.Time, js *JobState, rf spec.TaskRef, tk *Task) {
 	st.dropRun(js, rf, tk)
-	tk.Worker, tk.Born, tk.EndedAt = "", 0, at
+	tk.Worker, tk.Incarnation, tk.EndedAt = "", 0, at
 	js.Placed--
 }
 
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -182,7 +182,7 @@
 	fx.sr.Read(func(rd Reader) {
 		tk := rd.Job("a").Task(spec.TaskRef{Job: "a", Index: 1})
 		require.True(t, tk.Placed())
-		require.Equal(t, int64(5), tk.Born)
+		require.Equal(t, int64(5), tk.Incarnation)
 	})
 	fx.refused(Change{Leave: &WorkerLeave{ID: "w1", Incarnation: 1}}, "not the present life")
 	fx.taken(Change{Leave: &WorkerLeave{ID: "w2", Incarnation: 1}})
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -39,7 +39,7 @@
 func (st *state) moveRuns(old, wk *Worker) {
 	for key := range st.Runs[old.ID] {
 		if tk := st.Jobs[key.Task.Job].Task(key.Task); tk != nil {
-			tk.Born = wk.Incarnation
+			tk.Incarnation = wk.Incarnation
 		}
 	}
 }
