--- a/internal/entry/ledger/key.go
+++ b/internal/entry/ledger/key.go
@@ -22,7 +22,7 @@
 func NewKey(zone weir.Zone, now time.Time) (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return "", &Error{Op: "new key", Kind: KindKey, Err: err}
+		return "", &Error{Op: "new key", Kind: KindInvalidKey, Err: err}
 	}
 	setStamp(&id, now)
 	return string(zone) + "." + id.String(), nil
@@ -45,10 +45,10 @@
 	}
 	id, err := uuid.Parse(rest)
 	if err != nil {
-		return Key{}, &Error{Op: "parse key", Kind: KindKey, Err: err}
+		return Key{}, &Error{Op: "parse key", Kind: KindInvalidKey, Err: err}
 	}
 	if id.Version() != 7 || len(rest) != len(id.String()) {
-		return Key{}, &Error{Op: "parse key", Kind: KindKey}
+		return Key{}, &Error{Op: "parse key", Kind: KindInvalidKey}
 	}
 	var millis int64
 	for ix := range 6 {
