--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -44,7 +44,7 @@
 // moved by an order without an answer: its next worker runs a task when the
 // order, sent again, is answered.
 func TestLateAnswerEndsOnlyTheLifeThatWasOrderedAway(t *testing.T) {
-	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Born: 1}
+	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Incarnation: 1}
 	next := store.Worker{ID: "w2", Incarnation: 2, Address: "w2", Machine: "mw0"}
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, store.Change{Machine: &move},
 		store.Change{Join: &next}, store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a"}, Run: 1, Worker: "w2", Incarnation: 2}})
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -184,7 +184,7 @@
 // worker; the order follows once the state says so.
 func (ow *Scheduler) intend(re *reign, op store.MachineOperation, wk store.Worker) {
 	md := re.machines
-	op.Worker, op.Born = wk.ID, wk.Incarnation
+	op.Worker, op.Incarnation = wk.ID, wk.Incarnation
 	md.intent[op.Machine] = true
 	md.mine[op.Machine] = true
 	done := func([]store.Answer, error) {
@@ -291,9 +291,9 @@
 	if !ok || op.Worker == "" {
 		return nil
 	}
-	re.machines.gone[machine] = op.Born
+	re.machines.gone[machine] = op.Incarnation
 	wk, ok := rd.Worker(op.Worker)
-	if !ok || wk.Incarnation != op.Born {
+	if !ok || wk.Incarnation != op.Incarnation {
 		return nil
 	}
 	return ow.leave(re, rd, wk, "machine ordered away")
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -129,9 +129,9 @@
 	Wave int64         `json:"wave,omitempty"`
 	Pool weir.PoolName `json:"pool,omitempty"`
 	// Worker and Born name the life that the operation ends.
-	Worker weir.InstanceID `json:"worker,omitempty"`
-	Born   int64           `json:"born,omitempty"`
-	Begun  bool            `json:"begun,omitempty"`
+	Worker      weir.InstanceID `json:"worker,omitempty"`
+	Incarnation int64           `json:"born,omitempty"`
+	Begun       bool            `json:"begun,omitempty"`
 	// Void says that the platform certainly did not and will not do it.
 	Void bool `json:"void,omitempty"`
 }
