--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -33,8 +33,8 @@
 
 // The kinds of errors.
 const (
-	KindInvalidKey Kind = "the key is not a version 7 UUID, with or without a zone mark"
-	KindAge        Kind = "the key's time is out of range"
+	KindInvalidKey    Kind = "the key is not a version 7 UUID, with or without a zone mark"
+	KindKeyOutOfRange Kind = "the key's time is out of range"
 )
 
 // Error is the error type of this package.
