--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -141,7 +141,7 @@
 	early := key(origin.Add(time.Second))
 	require.Equal(t, peerapi.ReserveRefused, st.Reserve(clk.Now(), peerapi.Reserve{Key: early, Attempt: "a"}).State, "below the floor")
 	clk.Advance(10 * time.Second)
-	future := key(clk.Now().Add(MaxSkew + time.Second))
+	future := key(clk.Now().Add(MaxClockSkew + time.Second))
 	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: future, Attempt: "a"}).Reason)
 	k1, k2, k3 := key(clk.Now()), key(clk.Now()), key(clk.Now())
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "a"}).State)
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -41,9 +41,9 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// MaxSkew is how far the clocks of entry instances and of callers that
+	// MaxClockSkew is how far the clocks of entry instances and of callers that
 	// make keys themselves may differ.
-	MaxSkew = 2 * time.Second
+	MaxClockSkew = 2 * time.Second
 	// dumpPage bounds the records of one page.
 	dumpPage = 2000
 	// maxKeptBody bounds a recorded body; a longer one is answered once and
@@ -78,14 +78,14 @@
 // at most capacity keys for the retention time.
 func NewStore(now time.Time, retention time.Duration, capacity int) *Store {
 	return &Store{
-		retention: retention, capacity: capacity, started: now, floor: now.Add(MaxSkew),
+		retention: retention, capacity: capacity, started: now, floor: now.Add(MaxClockSkew),
 		records: map[string]record{}, expiry: map[int64][]string{}, swept: now.Add(-retention).Unix() / 60,
 	}
 }
 
 // InRange reports whether a key is neither too old nor from the future.
 func (st *Store) InRange(now time.Time, key Key) bool {
-	return key.Stamp.After(now.Add(-st.retention)) && key.Stamp.Before(now.Add(MaxSkew))
+	return key.Stamp.After(now.Add(-st.retention)) && key.Stamp.Before(now.Add(MaxClockSkew))
 }
 
 // Reserve grants the key to an attempt, or tells who has it.
