--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -50,12 +50,12 @@
 )
 
 type request struct {
-	Life    weir.WorkerLife  `json:"life"`
-	Order   *weir.RunOrder   `json:"order,omitempty"`
-	Renew   *weir.RenewOrder `json:"renew,omitempty"`
-	Key     weir.RunKey      `json:"key,omitzero"`
-	Percent int              `json:"percent,omitempty"`
-	Token   uint64           `json:"token,omitempty"`
+	Life    weir.WorkerIncarnation `json:"life"`
+	Order   *weir.RunOrder         `json:"order,omitempty"`
+	Renew   *weir.RenewOrder       `json:"renew,omitempty"`
+	Key     weir.RunKey            `json:"key,omitzero"`
+	Percent int                    `json:"percent,omitempty"`
+	Token   uint64                 `json:"token,omitempty"`
 }
 
 // Client sends orders to workers.
@@ -88,25 +88,25 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (cl *Client) Start(ctx context.Context, life weir.WorkerLife, order weir.RunOrder) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (ans weir.OrderAnswer, err error) {
 	err = cl.post(ctx, startPath, request{Life: life, Order: &order}, &ans)
 	return ans, err
 }
 
 // Stop implements weir.TaskWorkers.
-func (cl *Client) Stop(ctx context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (ans weir.OrderAnswer, err error) {
 	err = cl.post(ctx, stopPath, request{Life: life, Key: key, Token: token}, &ans)
 	return ans, err
 }
 
 // Pace implements weir.TaskWorkers.
-func (cl *Client) Pace(ctx context.Context, life weir.WorkerLife, key weir.RunKey, percent int, token uint64) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderAnswer, err error) {
 	err = cl.post(ctx, pacePath, request{Life: life, Key: key, Percent: percent, Token: token}, &ans)
 	return ans, err
 }
 
 // Renew implements weir.TaskWorkers.
-func (cl *Client) Renew(ctx context.Context, life weir.WorkerLife, order weir.RenewOrder) (rep weir.WorkerReport, err error) {
+func (cl *Client) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (rep weir.WorkerReport, err error) {
 	err = cl.post(ctx, leasePath, request{Life: life, Renew: &order}, &rep)
 	return rep, err
 }
--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -24,7 +24,7 @@
 	reports map[weir.InstanceID]weir.WorkerReport
 }
 
-func (rp reporting) Renew(_ context.Context, life weir.WorkerLife, _ weir.RenewOrder) (weir.WorkerReport, error) {
+func (rp reporting) Renew(_ context.Context, life weir.WorkerIncarnation, _ weir.RenewOrder) (weir.WorkerReport, error) {
 	return rp.reports[life.ID], nil
 }
 
@@ -55,7 +55,7 @@
 		apply(store.Change{Join: &wk})
 		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Incarnation: 1}})
 		ss := &session.Session{
-			Worker: weir.WorkerLife{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {},
+			Worker: weir.WorkerIncarnation{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: reporting{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
 				Clock: time.Hour, Born: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
 			}}},
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -345,7 +345,7 @@
 	ssCtx, cancel := context.WithCancel(ctx)
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
-		Worker: weir.WorkerLife{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
+		Worker: weir.WorkerIncarnation{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
 		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leadership: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
 		PriorLeaseExpiry: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -29,11 +29,11 @@
 	stops []weir.RunKey
 }
 
-func (wk *idle) Renew(context.Context, weir.WorkerLife, weir.RenewOrder) (weir.WorkerReport, error) {
+func (wk *idle) Renew(context.Context, weir.WorkerIncarnation, weir.RenewOrder) (weir.WorkerReport, error) {
 	return weir.WorkerReport{Clock: time.Hour, Born: 1, Running: wk.running}, nil
 }
 
-func (wk *idle) Stop(_ context.Context, _ weir.WorkerLife, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (wk *idle) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	wk.stops = append(wk.stops, key)
@@ -54,7 +54,7 @@
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	at := &attended{worker: store.Worker{ID: "w0", Incarnation: 1}}
 	at.ss = &session.Session{
-		Worker: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
+		Worker: weir.WorkerIncarnation{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
 	require.NoError(t, at.ss.Default())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -10,7 +10,7 @@
 )
 
 // reach finds a worker after the way there.
-func (fl *Fleet) reach(life weir.WorkerLife) (*taskworker.Worker, error) {
+func (fl *Fleet) reach(life weir.WorkerIncarnation) (*taskworker.Worker, error) {
 	time.Sleep(oneWay)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -23,7 +23,7 @@
 
 // call lets an order go to a worker and its answer come back; a worker that is
 // gone by then has not answered.
-func call[A any](fl *Fleet, life weir.WorkerLife, do func(wk *taskworker.Worker) (A, error)) (A, error) {
+func call[A any](fl *Fleet, life weir.WorkerIncarnation, do func(wk *taskworker.Worker) (A, error)) (A, error) {
 	wk, err := fl.reach(life)
 	if err != nil {
 		var none A
@@ -40,7 +40,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (fl *Fleet) Start(ctx context.Context, life weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) {
 		ans, err := wk.Start(ctx, life, order)
 		if ans.Refusal == weir.RefusedRoom {
@@ -51,17 +51,17 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (fl *Fleet) Stop(ctx context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (fl *Fleet) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) { return wk.Stop(ctx, life, key, token) })
 }
 
 // Pace implements weir.TaskWorkers.
-func (fl *Fleet) Pace(ctx context.Context, life weir.WorkerLife, key weir.RunKey, percent int, token uint64) (weir.OrderAnswer, error) {
+func (fl *Fleet) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (weir.OrderAnswer, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) { return wk.Pace(ctx, life, key, percent, token) })
 }
 
 // Renew implements weir.TaskWorkers.
-func (fl *Fleet) Renew(ctx context.Context, life weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (fl *Fleet) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.WorkerReport, error) { return wk.Renew(ctx, life, order) })
 }
 
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -141,7 +141,7 @@
 }
 
 // admit checks whom an order is for and from; it runs with the lock held.
-func (wk *Worker) admit(life weir.WorkerLife, token uint64) weir.Refusal {
+func (wk *Worker) admit(life weir.WorkerIncarnation, token uint64) weir.Refusal {
 	if life.ID != wk.ID || life.Born != wk.Born {
 		return weir.RefusedLife
 	}
@@ -159,7 +159,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, life weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
 	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
@@ -246,7 +246,7 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wk *Worker) Stop(_ context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wk *Worker) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
 	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
@@ -261,14 +261,14 @@
 }
 
 // Pace implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
-func (wk *Worker) Pace(_ context.Context, life weir.WorkerLife, _ weir.RunKey, _ int, token uint64) (weir.OrderAnswer, error) {
+func (wk *Worker) Pace(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderAnswer, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
 	return weir.OrderAnswer{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
 }
 
 // Renew implements weir.TaskWorkers.
-func (wk *Worker) Renew(ctx context.Context, life weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (wk *Worker) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	begin := wk.lock()
 	if wk.admit(life, order.Token) == weir.RefusedNone {
 		wk.extend(order.Until)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -85,7 +85,7 @@
 
 // Session deals with one life of a worker. Set the exported fields before Run.
 type Session struct {
-	Worker     weir.WorkerLife
+	Worker     weir.WorkerIncarnation
 	Token      uint64
 	Lease      time.Duration
 	Workers    weir.TaskWorkers
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -34,7 +34,7 @@
 
 func (fw *fakeWorker) clock() time.Duration { return fw.clk.Now().Sub(time.Unix(0, 0)) }
 
-func (fw *fakeWorker) Renew(_ context.Context, _ weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (fw *fakeWorker) Renew(_ context.Context, _ weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	// An order without an answer may still be carried out.
@@ -48,14 +48,14 @@
 	return rep, nil
 }
 
-func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.starts = append(fw.starts, order.RunKey)
 	return weir.OrderAnswer{Clock: fw.clock()}, nil
 }
 
-func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerLife, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.stops = append(fw.stops, key)
@@ -70,7 +70,7 @@
 	clk := clock.NewManual(time.Unix(100, 0))
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
-		Worker: weir.WorkerLife{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: always{},
+		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: always{},
 		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -116,7 +116,7 @@
 	wd.sessions = nil
 	for _, mw := range wd.workers {
 		ss := &Session{
-			Worker: weir.WorkerLife{ID: mw.id, Born: 1}, Token: wd.term, Lease: exploreLease, Workers: wd, Leadership: always{}, Clock: wd.clk,
+			Worker: weir.WorkerIncarnation{ID: mw.id, Born: 1}, Token: wd.term, Lease: exploreLease, Workers: wd, Leadership: always{}, Clock: wd.clk,
 			Logger: log.NewNopLogger(), OnChange: func() {}, PriorLeaseExpiry: wd.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
 		}
 		require.NoError(wd.t, ss.Default())
@@ -140,7 +140,7 @@
 	return weir.OrderAnswer{}, errSilent
 }
 
-func (wd *world) worker(life weir.WorkerLife) *modelWorker {
+func (wd *world) worker(life weir.WorkerIncarnation) *modelWorker {
 	for _, mw := range wd.workers {
 		if mw.id == life.ID {
 			return mw
@@ -150,7 +150,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wd *world) Start(_ context.Context, life weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wd *world) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
 	mw := wd.worker(life)
 	return wd.carry(func() weir.OrderAnswer {
 		now := wd.clk.Now()
@@ -184,7 +184,7 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wd *world) Stop(_ context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wd *world) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
 	mw := wd.worker(life)
 	return wd.carry(func() weir.OrderAnswer {
 		now := wd.clk.Now()
@@ -202,7 +202,7 @@
 }
 
 // Renew implements weir.TaskWorkers.
-func (wd *world) Renew(_ context.Context, life weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (wd *world) Renew(_ context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	mw := wd.worker(life)
 	var rep weir.WorkerReport
 	_, err := wd.carry(func() weir.OrderAnswer {
@@ -243,7 +243,7 @@
 }
 
 // Pace implements weir.TaskWorkers.
-func (*world) Pace(context.Context, weir.WorkerLife, weir.RunKey, int, uint64) (weir.OrderAnswer, error) {
+func (*world) Pace(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderAnswer, error) {
 	return weir.OrderAnswer{}, errSilent
 }
 
--- a/task.go
+++ b/task.go
@@ -29,8 +29,8 @@
 	Run  int
 }
 
-// WorkerLife is one life of a worker, and where to reach it.
-type WorkerLife struct {
+// WorkerIncarnation is one life of a worker, and where to reach it.
+type WorkerIncarnation struct {
 	ID      InstanceID
 	Born    int64
 	Address string
@@ -130,11 +130,11 @@
 // TaskWorkers sends orders to workers. An error means that the order may have
 // been carried out, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, life WorkerLife, order RunOrder) (OrderAnswer, error)
-	Stop(ctx context.Context, life WorkerLife, key RunKey, token uint64) (OrderAnswer, error)
-	Renew(ctx context.Context, life WorkerLife, order RenewOrder) (WorkerReport, error)
+	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderAnswer, error)
+	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderAnswer, error)
+	Renew(ctx context.Context, life WorkerIncarnation, order RenewOrder) (WorkerReport, error)
 	// Pace lets a run work at a share of its speed, from 0 to 100 percent.
-	Pace(ctx context.Context, life WorkerLife, key RunKey, percent int, token uint64) (OrderAnswer, error)
+	Pace(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderAnswer, error)
 	// Forget closes the connections to an address that is no longer used.
 	Forget(address string)
 }
