--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -370,7 +370,7 @@
 		ow.dropWorker(re, at, now)
 		return
 	}
-	var placed []session.Placed
+	var placed []session.PlacedRun
 	ow.Store.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			if re.starting[key] {
@@ -378,7 +378,7 @@
 			}
 			js := rd.Job(key.Task.Job)
 			wanted := !js.Phase.Over() && !js.Task(key.Task).Done && !re.evicted[key] && js.Whole(key)
-			placed = append(placed, session.Placed{Key: key, Wanted: wanted})
+			placed = append(placed, session.PlacedRun{Key: key, Wanted: wanted})
 		}
 	})
 	out := at.ss.Reconcile(now, placed)
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -135,11 +135,11 @@
 		wd.reopen(ix)
 		return
 	}
-	var placed []Placed
+	var placed []PlacedRun
 	wd.st.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			js := rd.Job(key.Task.Job)
-			placed = append(placed, Placed{Key: key, Wanted: !js.Phase.Over() && !js.Task(key.Task).Done})
+			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Over() && !js.Task(key.Task).Done})
 		}
 	})
 	out := ss.Reconcile(now, placed)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -231,8 +231,8 @@
 	return ss.failingAt.IsZero() && ss.last.running[key].Percent >= fullWork
 }
 
-// Placed is one run that the state holds to be at the worker.
-type Placed struct {
+// PlacedRun is one run that the state holds to be at the worker.
+type PlacedRun struct {
 	Key weir.RunKey
 	// Wanted is false where the run is to be stopped.
 	Wanted bool
@@ -251,7 +251,7 @@
 // Reconcile compares what the state holds to be at the worker with what the
 // worker said. It returns ends to be committed and sends stops. It returns no
 // more ends until Recorded or NotRecorded has told what became of them.
-func (ss *Session) Reconcile(now time.Time, placed []Placed) Outcome {
+func (ss *Session) Reconcile(now time.Time, placed []PlacedRun) Outcome {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	out := Outcome{}
@@ -282,7 +282,7 @@
 }
 
 // reconcileRun decides on one run; see decide for the rules.
-func (ss *Session) reconcileRun(now time.Time, pl Placed, out *Outcome) {
+func (ss *Session) reconcileRun(now time.Time, pl PlacedRun, out *Outcome) {
 	rn := ss.runs[pl.Key]
 	if rn == nil {
 		rn = &run{}
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -110,7 +110,7 @@
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, How: string(store.EndDone)}}
 	require.True(t, ss.takeReport(fw.clk.Now(), fw.reports))
-	placed := []Placed{{Key: key, Wanted: true}}
+	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
 	ss.NotRecorded()
@@ -130,7 +130,7 @@
 	end := func(ix int) weir.RunEnd {
 		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), How: string(store.EndDone)}
 	}
-	placed := []Placed{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
+	placed := []PlacedRun{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
 	first := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, first.Ends, 1)
@@ -150,7 +150,7 @@
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	ss.Start(weir.RunOrder{RunKey: key})
-	ss.Reconcile(fw.clk.Now(), []Placed{{Key: key}})
+	ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
 	for len(ss.orders) > 0 {
 		(<-ss.orders)(context.Background())
 	}
@@ -160,7 +160,7 @@
 // TestVerdictIsHandedOutOnce keeps a slow log from being flooded.
 func TestVerdictIsHandedOutOnce(t *testing.T) {
 	ss, fw, key := cancelledStart(t)
-	placed := []Placed{{Key: key}}
+	placed := []PlacedRun{{Key: key}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
 	ss.NotRecorded()
@@ -180,7 +180,7 @@
 func TestStartOfACancelledRunIsNotSent(t *testing.T) {
 	ss, fw, key := cancelledStart(t)
 	require.Empty(t, fw.starts)
-	out := ss.Reconcile(fw.clk.Now(), []Placed{{Key: key}})
+	out := ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
 	require.Equal(t, []store.RunEnd{{Task: key.Task, Run: 1, Reason: store.EndRefused}}, out.Ends)
 }
 
@@ -199,11 +199,11 @@
 	fw.clk.Advance(10 * time.Millisecond)
 	ss.takeReport(renewalSent, weir.WorkerReport{Running: []weir.RunningTask{{RunKey: key}}})
 	ss.takeReport(lookSent, weir.WorkerReport{})
-	out := ss.Reconcile(fw.clk.Now(), []Placed{{Key: key, Wanted: true}})
+	out := ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
 	require.Empty(t, out.Ends, "the run is there")
 	require.Empty(t, ss.orders, "and is not stopped")
 	fw.clk.Advance(10 * time.Millisecond)
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{})
-	out = ss.Reconcile(fw.clk.Now(), []Placed{{Key: key, Wanted: true}})
+	out = ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
 	require.Len(t, out.Ends, 1, "a report asked for later shows that it is over")
 }
