--- a/internal/contract/operator/client.go
+++ b/internal/contract/operator/client.go
@@ -40,8 +40,8 @@
 }
 
 // Command sends a request that the state machine answers.
-func (cl *Client) Command(ctx context.Context, path string, body any) (command.Answer, error) {
-	var ans command.Answer
+func (cl *Client) Command(ctx context.Context, path string, body any) (command.Result, error) {
+	var ans command.Result
 	err := cl.do(ctx, http.MethodPost, path, body, &ans)
 	return ans, err
 }
@@ -109,7 +109,7 @@
 
 // refusalOf reads the refusal out of an answer, where it holds one.
 func refusalOf(status string, answer []byte) error {
-	var ans command.Answer
+	var ans command.Result
 	if json.Unmarshal(answer, &ans) == nil && ans.Refusal != nil {
 		return errors.Errorf("%s: %s", ans.Refusal.Kind, ans.Refusal.Message)
 	}
--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -40,7 +40,7 @@
 	Clock    weir.Clock
 	Logger   log.Logger
 	IsLeader func() bool
-	Propose  func(ctx context.Context, cmd command.Command) (command.Answer, error)
+	Propose  func(ctx context.Context, cmd command.Command) (command.Result, error)
 
 	led     bool
 	upSince map[weir.InstanceID]sighting
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -88,27 +88,27 @@
 func (sv *Service) Leads() bool { return sv.Node.Status().Role == replica.Leader }
 
 // Propose commits a command, here or at the leader.
-func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Answer, error) {
+func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Result, error) {
 	if sv.Leads() {
 		return sv.proposeHere(ctx, cmd)
 	}
-	var ans command.Answer
+	var ans command.Result
 	err := sv.atLeader(ctx, peerapi.ControlPropose, cmd, &ans)
 	return ans, err
 }
 
-func (sv *Service) proposeHere(ctx context.Context, cmd command.Command) (command.Answer, error) {
+func (sv *Service) proposeHere(ctx context.Context, cmd command.Command) (command.Result, error) {
 	data, err := cmd.Encode()
 	if err != nil {
-		return command.Answer{}, &Error{Op: "propose", Kind: KindDecode, Err: err}
+		return command.Result{}, &Error{Op: "propose", Kind: KindDecode, Err: err}
 	}
 	value, err := sv.Node.Propose(ctx, data)
 	if err != nil {
-		return command.Answer{}, err
+		return command.Result{}, err
 	}
-	ans, ok := value.(command.Answer)
+	ans, ok := value.(command.Result)
 	if !ok {
-		return command.Answer{}, &Error{Op: "propose", Kind: KindDecode}
+		return command.Result{}, &Error{Op: "propose", Kind: KindDecode}
 	}
 	return ans, nil
 }
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -207,9 +207,9 @@
 	Problems []model.Problem `json:"problems,omitempty"`
 }
 
-// Answer is the state machine's answer to a command. A request id that is
+// Result is the state machine's answer to a command. A request id that is
 // used again gets the first answer.
-type Answer struct {
+type Result struct {
 	Index   uint64   `json:"index"`
 	Number  uint64   `json:"number,omitempty"`
 	Refusal *Refusal `json:"refusal,omitempty"`
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -6,7 +6,7 @@
 )
 
 // applyConfig accepts a configuration if it follows the present one.
-func (st *state) applyConfig(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyConfig(cmd command.Command, ch *change) command.Result {
 	ca := cmd.Config
 	if ca.Expected != st.Number {
 		return refuse(command.RefusedConflict, "expected configuration %d, but %d is in force", ca.Expected, st.Number)
@@ -33,7 +33,7 @@
 	}
 	ch.config = &ca.Delta
 	st.placeInstances(cmd, ch)
-	return command.Answer{Number: st.Number}
+	return command.Result{Number: st.Number}
 }
 
 // placeInstances brings members in line with the instances of a new
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -12,9 +12,9 @@
 
 // serving returns a member that serves and is up, or the refusal that says
 // why it is not so.
-func (st *state) serving(id weir.InstanceID) (view.Member, *command.Answer) {
+func (st *state) serving(id weir.InstanceID) (view.Member, *command.Result) {
 	mem, ok := st.Members[id]
-	var ans command.Answer
+	var ans command.Result
 	switch {
 	case !ok:
 		ans = refuse(command.RefusedUnknown, "no instance is named %s", id)
@@ -30,7 +30,7 @@
 
 // startDrain begins a planned disruption of a serving member, if the budget
 // of its pool allows it.
-func (st *state) startDrain(mem view.Member, cmd command.Command, ch *change) command.Answer {
+func (st *state) startDrain(mem view.Member, cmd command.Command, ch *change) command.Result {
 	left := st.available[mem.Pool] - 1
 	want := st.Config.Pools[mem.Pool].MinAvailable
 	if left < want {
@@ -39,10 +39,10 @@
 	st.enter(mem, view.Draining, cmd, ch)
 	invariant.Check(st.available[mem.Pool] >= want, "budgetHolds",
 		"pool", mem.Pool, "available", st.available[mem.Pool], "budget", want)
-	return command.Answer{}
+	return command.Result{}
 }
 
-func (st *state) applyMove(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyMove(cmd command.Command, ch *change) command.Result {
 	mv := cmd.Move
 	mem, bad := st.serving(mv.Instance)
 	if bad != nil {
@@ -60,7 +60,7 @@
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyRetire(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyRetire(cmd command.Command, ch *change) command.Result {
 	id := cmd.Retire.Instance
 	mem, ok := st.Members[id]
 	if ok && mem.Home != "" {
@@ -69,7 +69,7 @@
 	if ok && mem.Phase == view.Serving && !st.Statuses[id].Up {
 		st.dropMember(id)
 		ch.gone = append(ch.gone, id)
-		return command.Answer{}
+		return command.Result{}
 	}
 	mem, bad := st.serving(id)
 	if bad != nil {
@@ -79,7 +79,7 @@
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyPermit(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyPermit(cmd command.Command, ch *change) command.Result {
 	pg := cmd.Permit
 	wave, ok := st.Waves[pg.Wave]
 	if !ok {
@@ -108,7 +108,7 @@
 
 // applyConsent completes a drain. Only the instance's present owner can give
 // it, and only for a view that includes the drain.
-func (st *state) applyConsent(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyConsent(cmd command.Command, ch *change) command.Result {
 	co := cmd.Consent
 	mem, ok := st.Members[co.Instance]
 	if !ok || mem.Phase != view.Draining {
@@ -133,11 +133,11 @@
 		mem.OldIncarnation = sta.Incarnation
 		st.enter(mem, view.Drained, cmd, ch)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyAbandon takes back a drain that is not complete.
-func (st *state) applyAbandon(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyAbandon(cmd command.Command, ch *change) command.Result {
 	id := cmd.Abandon.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Draining {
@@ -153,21 +153,21 @@
 		mem.Lent = false
 	}
 	st.enter(mem, view.Serving, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
-func (st *state) applyReboot(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyReboot(cmd command.Command, ch *change) command.Result {
 	mem, ok := st.Members[cmd.Reboot.Instance]
 	if !ok || mem.Phase != view.Drained || mem.Operation != cmd.Reboot.Operation {
 		return refuse(command.RefusedState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
 	}
 	st.enter(mem, view.Returning, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyRelease returns a rebooted instance, which must be up as a newer
 // incarnation than the one that was rebooted.
-func (st *state) applyRelease(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyRelease(cmd command.Command, ch *change) command.Result {
 	id := cmd.Release.Instance
 	mem, ok := st.Members[id]
 	sta := st.Statuses[id]
@@ -181,12 +181,12 @@
 		wave.end(cmd.At)
 	}
 	st.enter(mem, view.Serving, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyStuck lets the wave go on without an instance that did not come back;
 // the instance stays out of its pool's availability.
-func (st *state) applyStuck(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyStuck(cmd command.Command, ch *change) command.Result {
 	id := cmd.Stuck.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Returning || mem.Stuck {
@@ -199,5 +199,5 @@
 		wave.Stuck[id] = true
 		wave.end(cmd.At)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -151,7 +151,7 @@
 	fn(Reader{st: mc.st})
 }
 
-func (st *state) remember(id string, ans command.Answer) {
+func (st *state) remember(id string, ans command.Result) {
 	if id == "" {
 		return
 	}
@@ -164,11 +164,11 @@
 	st.Requests = st.Requests[1:]
 }
 
-func refuse(kind command.RefusalKind, format string, args ...any) command.Answer {
-	return command.Answer{Refusal: &command.Refusal{Kind: kind, Message: fmt.Sprintf(format, args...)}}
+func refuse(kind command.RefusalKind, format string, args ...any) command.Result {
+	return command.Result{Refusal: &command.Refusal{Kind: kind, Message: fmt.Sprintf(format, args...)}}
 }
 
-func (st *state) apply(cmd command.Command, ch *change) command.Answer {
+func (st *state) apply(cmd command.Command, ch *change) command.Result {
 	switch {
 	case cmd.Config != nil:
 		return st.applyConfig(cmd, ch)
@@ -199,7 +199,7 @@
 	case cmd.Process != nil:
 		return st.applyProcess(cmd)
 	case cmd.Barrier != nil:
-		return command.Answer{}
+		return command.Result{}
 	}
 	return refuse(command.RefusedInvalid, "command is empty")
 }
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -46,13 +46,13 @@
 	return be
 }
 
-func (be *bench) do(cmd command.Command) command.Answer {
+func (be *bench) do(cmd command.Command) command.Result {
 	be.index++
 	be.now = be.now.Add(time.Second)
 	cmd.At = be.now
 	data, err := cmd.Encode()
 	require.NoError(be.t, err)
-	ans, ok := be.mc.Apply(be.index, data).(command.Answer)
+	ans, ok := be.mc.Apply(be.index, data).(command.Result)
 	require.True(be.t, ok)
 	return ans
 }
--- a/internal/fleet/fsm/report.go
+++ b/internal/fleet/fsm/report.go
@@ -8,7 +8,7 @@
 
 // applyStatus takes reports about instances. Reports of an earlier
 // incarnation or lease are ignored.
-func (st *state) applyStatus(cmd command.Command) command.Answer {
+func (st *state) applyStatus(cmd command.Command) command.Result {
 	for _, sta := range cmd.Status.Items {
 		if _, ok := st.Members[sta.Instance]; !ok {
 			continue
@@ -22,28 +22,28 @@
 		}
 		st.setStatus(sta)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyProcess keeps the list of entry instances that a change of the
 // configuration must reach.
-func (st *state) applyProcess(cmd command.Command) command.Answer {
+func (st *state) applyProcess(cmd command.Command) command.Result {
 	pr := cmd.Process
 	if _, ok := st.Processes[pr.ID]; pr.Forget && !ok {
 		return refuse(command.RefusedUnknown, "no process is named %s", pr.ID)
 	}
 	if pr.Forget {
 		delete(st.Processes, pr.ID)
-		return command.Answer{}
+		return command.Result{}
 	}
 	st.Processes[pr.ID] = pr.Zone
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyUsage counts each report once: the reports of an incarnation must come
 // in sequence, and those that were counted before are acknowledged again.
-func (st *state) applyUsage(cmd command.Command) command.Answer {
-	ans := command.Answer{}
+func (st *state) applyUsage(cmd command.Command) command.Result {
+	ans := command.Result{}
 	for _, rep := range cmd.Usage.Reports {
 		mk := st.Marks[rep.Instance]
 		if rep.Incarnation > mk.Incarnation {
--- a/internal/fleet/fsm/state.go
+++ b/internal/fleet/fsm/state.go
@@ -77,7 +77,7 @@
 // request is a remembered operator request.
 type request struct {
 	ID     string         `json:"id"`
-	Answer command.Answer `json:"answer"`
+	Answer command.Result `json:"answer"`
 }
 
 // state is everything that the log decides; it is what snapshots hold.
@@ -97,7 +97,7 @@
 	Processes   map[string]weir.Zone               `json:"processes"`
 
 	usage    map[usageKey]*Totals
-	requests map[string]command.Answer
+	requests map[string]command.Result
 	// available counts the members of each pool that serve and are up, sizes
 	// all its members.
 	available map[weir.PoolName]int
@@ -121,7 +121,7 @@
 		totals := line.Totals
 		st.usage[usageKey{line.Service, line.Team}] = &totals
 	}
-	st.requests = make(map[string]command.Answer, len(st.Requests))
+	st.requests = make(map[string]command.Result, len(st.Requests))
 	for _, req := range st.Requests {
 		st.requests[req.ID] = req.Answer
 	}
--- a/internal/fleet/fsm/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -10,7 +10,7 @@
 	weir "greengageweir"
 )
 
-func (st *state) applyWave(cmd command.Command) command.Answer {
+func (st *state) applyWave(cmd command.Command) command.Result {
 	wc := cmd.Wave
 	if _, ok := st.Waves[wc.Name]; ok {
 		return refuse(command.RefusedConflict, "wave %s exists already", wc.Name)
@@ -36,7 +36,7 @@
 	st.Waves[wc.Name] = wave
 	wave.end(cmd.At)
 	st.forgetWaves()
-	return command.Answer{}
+	return command.Result{}
 }
 
 func (st *state) selectInstances(wc *command.WaveCreate) map[weir.InstanceID]bool {
@@ -54,7 +54,7 @@
 	return len(filter) == 0 || slices.Contains(filter, val)
 }
 
-func (st *state) applyWaveSet(cmd command.Command) command.Answer {
+func (st *state) applyWaveSet(cmd command.Command) command.Result {
 	ws := cmd.WaveSet
 	wave, ok := st.Waves[ws.Name]
 	if !ok {
@@ -72,7 +72,7 @@
 	default:
 		return refuse(command.RefusedState, "cannot %s wave %s, it is %s", ws.Action, ws.Name, wave.State)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
 
 // end marks a wave without work left as done.
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -108,7 +108,7 @@
 	cmd.At = ms.clk.Now()
 	data, err := cmd.Encode()
 	ms.check(err)
-	ans, _ := mc.Apply(index, data).(command.Answer)
+	ans, _ := mc.Apply(index, data).(command.Result)
 	if ans.Refusal != nil {
 		ms.check(&peer.Error{Op: ans.Refusal.Message, Kind: peer.KindRemote})
 	}
