--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -58,7 +58,7 @@
 
 // Leadership tells whether this process leads, and for sure.
 type Leadership interface {
-	weir.Authority
+	weir.Leadership
 	// Term returns the term that this process leads, 0 while it does not.
 	Term() uint64
 }
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -89,7 +89,7 @@
 	Token      uint64
 	Lease      time.Duration
 	Workers    weir.TaskWorkers
-	Leadership weir.Authority
+	Leadership weir.Leadership
 	Clock      weir.Clock
 	Logger     log.Logger
 	// PriorLeaseExpiry is when a lease that an earlier leader gave has surely lapsed.
--- a/task.go
+++ b/task.go
@@ -139,9 +139,9 @@
 	Forget(address string)
 }
 
-// Authority tells whether orders may be given at a moment: whether this
+// Leadership tells whether orders may be given at a moment: whether this
 // process still leads for sure.
-type Authority interface {
+type Leadership interface {
 	Leads() bool
 }
 
