--- a/internal/entry/ledger/key.go
+++ b/internal/entry/ledger/key.go
@@ -13,9 +13,9 @@
 // Key is a parsed idempotency key: a version 7 UUID (RFC 9562), which carries
 // the time it was made, optionally behind the name of its home zone and a dot.
 type Key struct {
-	Text  string
-	Zone  weir.Zone
-	Stamp time.Time
+	Text      string
+	Zone      weir.Zone
+	Timestamp time.Time
 }
 
 // NewKey makes a key with a home.
@@ -54,7 +54,7 @@
 	for ix := range 6 {
 		millis = millis<<8 | int64(id[ix])
 	}
-	return Key{Text: text, Zone: weir.Zone(zone), Stamp: time.UnixMilli(millis)}, nil
+	return Key{Text: text, Zone: weir.Zone(zone), Timestamp: time.UnixMilli(millis)}, nil
 }
 
 // Rank orders candidates for a key by rendezvous hashing (Thaler and
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -96,7 +96,7 @@
 	key, err := ParseKey(text)
 	require.NoError(t, err)
 	require.Equal(t, weir.Zone("north"), key.Zone)
-	require.True(t, key.Stamp.Equal(origin))
+	require.True(t, key.Timestamp.Equal(origin))
 	for _, bad := range []string{"", "booking-1", "north.", "north.2f1c4e1e-0b5b-4c9c-9d0e-000000000000", "urn:uuid:018f0000-0000-7000-8000-000000000000"} {
 		_, err := ParseKey(bad)
 		require.Error(t, err, bad)
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -85,7 +85,7 @@
 
 // InRange reports whether a key is neither too old nor from the future.
 func (st *Store) InRange(now time.Time, key Key) bool {
-	return key.Stamp.After(now.Add(-st.retention)) && key.Stamp.Before(now.Add(MaxClockSkew))
+	return key.Timestamp.After(now.Add(-st.retention)) && key.Timestamp.Before(now.Add(MaxClockSkew))
 }
 
 // Reserve grants the key to an attempt, or tells who has it.
@@ -101,9 +101,9 @@
 		return rec.reply(res.Attempt)
 	}
 	switch {
-	case !st.InRange(now, key) || key.Stamp.Unix()/60 < st.swept:
+	case !st.InRange(now, key) || key.Timestamp.Unix()/60 < st.swept:
 		return refused("key out of range")
-	case !key.Stamp.After(st.floor):
+	case !key.Timestamp.After(st.floor):
 		return refused("replica recovers")
 	case len(st.records) >= st.capacity:
 		return refused("ledger full")
@@ -128,7 +128,7 @@
 
 func (st *Store) put(key Key, rec record) {
 	if _, ok := st.records[key.Text]; !ok {
-		minute := key.Stamp.Unix() / 60
+		minute := key.Timestamp.Unix() / 60
 		st.expiry[minute] = append(st.expiry[minute], key.Text)
 	}
 	st.records[key.Text] = rec
