--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -68,11 +68,11 @@
 	View    uint64    `json:"view"`
 	Number  uint64    `json:"number"`
 	// Full is set when Statuses holds all instances that the entry owns.
-	Full     bool                  `json:"full,omitempty"`
-	Statuses []command.Status      `json:"statuses,omitempty"`
-	Consents []command.Consent     `json:"consents,omitempty"`
-	Usage    []command.UsageReport `json:"usage,omitempty"`
-	Demand   []Demand              `json:"demand,omitempty"`
+	Full     bool                        `json:"full,omitempty"`
+	Statuses []command.Status            `json:"statuses,omitempty"`
+	Consents []command.DrainConfirmation `json:"consents,omitempty"`
+	Usage    []command.UsageReport       `json:"usage,omitempty"`
+	Demand   []Demand                    `json:"demand,omitempty"`
 }
 
 // Demand is the load of one service at one entry instance since the last
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -143,10 +143,10 @@
 
 // Consents returns a consent for each draining instance that is leased here,
 // has seen the drain itself and holds no work.
-func (tb *Table) Consents(entry string) []command.Consent {
+func (tb *Table) Consents(entry string) []command.DrainConfirmation {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	var list []command.Consent
+	var list []command.DrainConfirmation
 	for id, wk := range tb.workers {
 		mem := tb.view.Members[id]
 		idle := wk.busy == 0 && wk.foreign == 0 && wk.reported == 0
@@ -154,7 +154,7 @@
 			continue
 		}
 		invariant.Check(!wk.serving, "drainedGetsNoWork", "instance", id)
-		list = append(list, command.Consent{
+		list = append(list, command.DrainConfirmation{
 			Instance: id, Entry: entry, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, View: wk.seen,
 		})
 	}
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -24,21 +24,21 @@
 	Operator  string    `json:"operator,omitempty"`
 	At        time.Time `json:"at"`
 
-	Config  *ConfigApply   `json:"config,omitempty"`
-	Move    *Move          `json:"move,omitempty"`
-	Abandon *Abandon       `json:"abandon,omitempty"`
-	Consent *Consent       `json:"consent,omitempty"`
-	Wave    *WaveCreate    `json:"wave,omitempty"`
-	WaveSet *WaveSet       `json:"waveSet,omitempty"`
-	Permit  *PermitGrant   `json:"permit,omitempty"`
-	Reboot  *RebootDone    `json:"reboot,omitempty"`
-	Release *PermitRelease `json:"release,omitempty"`
-	Stuck   *Stuck         `json:"stuck,omitempty"`
-	Retire  *Retire        `json:"retire,omitempty"`
-	Status  *StatusBatch   `json:"status,omitempty"`
-	Usage   *UsageBatch    `json:"usage,omitempty"`
-	Process *Process       `json:"process,omitempty"`
-	Barrier *Barrier       `json:"barrier,omitempty"`
+	Config  *ConfigApply       `json:"config,omitempty"`
+	Move    *Move              `json:"move,omitempty"`
+	Abandon *Abandon           `json:"abandon,omitempty"`
+	Consent *DrainConfirmation `json:"consent,omitempty"`
+	Wave    *WaveCreate        `json:"wave,omitempty"`
+	WaveSet *WaveSet           `json:"waveSet,omitempty"`
+	Permit  *PermitGrant       `json:"permit,omitempty"`
+	Reboot  *RebootDone        `json:"reboot,omitempty"`
+	Release *PermitRelease     `json:"release,omitempty"`
+	Stuck   *Stuck             `json:"stuck,omitempty"`
+	Retire  *Retire            `json:"retire,omitempty"`
+	Status  *StatusBatch       `json:"status,omitempty"`
+	Usage   *UsageBatch        `json:"usage,omitempty"`
+	Process *Process           `json:"process,omitempty"`
+	Barrier *Barrier           `json:"barrier,omitempty"`
 }
 
 // Encode returns the command as it is stored in the log.
@@ -74,9 +74,9 @@
 	Reason   string          `json:"reason"`
 }
 
-// Consent says that the owner of an instance placed its last request on it
+// DrainConfirmation says that the owner of an instance placed its last request on it
 // and that nothing is in flight there.
-type Consent struct {
+type DrainConfirmation struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Entry       string          `json:"entry"`
 	Incarnation uint64          `json:"incarnation"`
