--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, co := range rep.Consents {
-		if _, err := sv.proposeHere(ctx, command.Command{At: now, Consent: &co}); err != nil {
+		if _, err := sv.proposeHere(ctx, command.Command{At: now, DrainConfirmation: &co}); err != nil {
 			return ans, err
 		}
 	}
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -24,21 +24,21 @@
 	Operator  string    `json:"operator,omitempty"`
 	At        time.Time `json:"at"`
 
-	Config  *ConfigApply       `json:"config,omitempty"`
-	Move    *Move              `json:"move,omitempty"`
-	Abandon *Abandon           `json:"abandon,omitempty"`
-	Consent *DrainConfirmation `json:"consent,omitempty"`
-	Wave    *WaveCreate        `json:"wave,omitempty"`
-	WaveSet *WaveSet           `json:"waveSet,omitempty"`
-	Permit  *PermitGrant       `json:"permit,omitempty"`
-	Reboot  *RebootDone        `json:"reboot,omitempty"`
-	Release *PermitRelease     `json:"release,omitempty"`
-	Stuck   *Stuck             `json:"stuck,omitempty"`
-	Retire  *Retire            `json:"retire,omitempty"`
-	Status  *StatusBatch       `json:"status,omitempty"`
-	Usage   *UsageBatch        `json:"usage,omitempty"`
-	Process *Process           `json:"process,omitempty"`
-	Barrier *Barrier           `json:"barrier,omitempty"`
+	Config            *ConfigApply       `json:"config,omitempty"`
+	Move              *Move              `json:"move,omitempty"`
+	Abandon           *Abandon           `json:"abandon,omitempty"`
+	DrainConfirmation *DrainConfirmation `json:"consent,omitempty"`
+	Wave              *WaveCreate        `json:"wave,omitempty"`
+	WaveSet           *WaveSet           `json:"waveSet,omitempty"`
+	Permit            *PermitGrant       `json:"permit,omitempty"`
+	Reboot            *RebootDone        `json:"reboot,omitempty"`
+	Release           *PermitRelease     `json:"release,omitempty"`
+	Stuck             *Stuck             `json:"stuck,omitempty"`
+	Retire            *Retire            `json:"retire,omitempty"`
+	Status            *StatusBatch       `json:"status,omitempty"`
+	Usage             *UsageBatch        `json:"usage,omitempty"`
+	Process           *Process           `json:"process,omitempty"`
+	Barrier           *Barrier           `json:"barrier,omitempty"`
 }
 
 // Encode returns the command as it is stored in the log.
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -109,7 +109,7 @@
 // applyConsent completes a drain. Only the instance's present owner can give
 // it, and only for a view that includes the drain.
 func (st *state) applyConsent(cmd command.Command, ch *change) command.Result {
-	co := cmd.Consent
+	co := cmd.DrainConfirmation
 	mem, ok := st.Members[co.Instance]
 	if !ok || mem.Phase != view.Draining {
 		return refuse(command.RefusedState, "instance %s is not draining", co.Instance)
--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -176,7 +176,7 @@
 		return st.applyMove(cmd, ch)
 	case cmd.Abandon != nil:
 		return st.applyAbandon(cmd, ch)
-	case cmd.Consent != nil:
+	case cmd.DrainConfirmation != nil:
 		return st.applyConsent(cmd, ch)
 	case cmd.Wave != nil:
 		return st.applyWave(cmd)
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -114,7 +114,7 @@
 }
 
 func (be *bench) consent(id weir.InstanceID, incarnation, epoch, seen uint64, entry string) command.Command {
-	return command.Command{Consent: &command.DrainConfirmation{Instance: id, Incarnation: incarnation, Epoch: epoch, View: seen, Entry: entry}}
+	return command.Command{DrainConfirmation: &command.DrainConfirmation{Instance: id, Incarnation: incarnation, Epoch: epoch, View: seen, Entry: entry}}
 }
 
 func TestEqualVersionsRace(t *testing.T) {
