--- a/internal/contract/endpoint/endpoint.go
+++ b/internal/contract/endpoint/endpoint.go
@@ -118,6 +118,6 @@
 	View        uint64           `json:"view"`
 	Service     weir.ServiceName `json:"service,omitempty"`
 	Slots       int              `json:"slots"`
-	// Settled is the last usage report of this incarnation that is counted.
-	Settled uint64 `json:"settled"`
+	// AckedUsage is the last usage report of this incarnation that is counted.
+	AckedUsage uint64 `json:"settled"`
 }
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -49,7 +49,7 @@
 	return endpoint.Answer{
 		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), EveryMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
-		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), Settled: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
+		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
 	}
 }
 
--- a/internal/standin/worker/announce.go
+++ b/internal/standin/worker/announce.go
@@ -54,7 +54,7 @@
 		wk.slots = ans.Slots
 	}
 	wk.usageEvery = time.Duration(ans.UsageMillis) * time.Millisecond
-	wk.settle(ann.Lease.Incarnation, ans.Settled)
+	wk.settle(ann.Lease.Incarnation, ans.AckedUsage)
 	if wk.seenView > ann.SeenView {
 		// Tell at once that a newer view was seen; a drain may wait for it.
 		return pollEvery
