--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -87,8 +87,8 @@
 // ReportAnswer is the leader's answer.
 type ReportAnswer struct {
 	// WantFull asks for a full report.
-	WantFull bool                `json:"wantFull,omitempty"`
-	Acked    []command.UsageMark `json:"acked,omitempty"`
+	WantFull bool               `json:"wantFull,omitempty"`
+	Acked    []command.UsageAck `json:"acked,omitempty"`
 }
 
 // Process is an entry instance as the leader knows it.
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -169,7 +169,7 @@
 }
 
 // Settle takes the leader's word on which reports are counted.
-func (tb *Table) Settle(marks []command.UsageMark) {
+func (tb *Table) Settle(marks []command.UsageAck) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, mk := range marks {
--- a/internal/entry/placement/usage.go
+++ b/internal/entry/placement/usage.go
@@ -65,7 +65,7 @@
 	return list
 }
 
-func (ub *usageBuffer) settle(mk command.UsageMark) {
+func (ub *usageBuffer) settle(mk command.UsageAck) {
 	key := incarnation{mk.Instance, mk.Incarnation}
 	ub.settled[key] = max(ub.settled[key], mk.Sequence)
 	for seq := range ub.reports[key] {
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -216,11 +216,11 @@
 	// Repeated is set where the answer is that of an earlier equal request.
 	Repeated bool `json:"repeated,omitempty"`
 	// Acked counts the usage reports that are settled now.
-	Acked []UsageMark `json:"acked,omitempty"`
+	Acked []UsageAck `json:"acked,omitempty"`
 }
 
-// UsageMark is the last settled report of one incarnation.
-type UsageMark struct {
+// UsageAck is the last settled report of one incarnation.
+type UsageAck struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Incarnation uint64          `json:"incarnation"`
 	Sequence    uint64          `json:"sequence"`
--- a/internal/fleet/fsm/report.go
+++ b/internal/fleet/fsm/report.go
@@ -62,7 +62,7 @@
 			*last = rep.Sequence
 			st.addUsage(rep)
 		}
-		ans.Acked = append(ans.Acked, command.UsageMark{Instance: rep.Instance, Incarnation: rep.Incarnation, Sequence: *last})
+		ans.Acked = append(ans.Acked, command.UsageAck{Instance: rep.Instance, Incarnation: rep.Incarnation, Sequence: *last})
 		st.Marks[rep.Instance] = mk
 	}
 	return ans
