--- a/internal/contract/caller/caller.go
+++ b/internal/contract/caller/caller.go
@@ -53,7 +53,7 @@
 // StatusOf returns the HTTP status that carries an answer.
 func StatusOf(ans weir.Answer) int {
 	switch ans.Kind {
-	case weir.Whole:
+	case weir.Complete:
 		return ans.Status
 	case weir.NotRun:
 		return http.StatusServiceUnavailable
--- a/internal/entry/callerapi/front.go
+++ b/internal/entry/callerapi/front.go
@@ -150,7 +150,7 @@
 func write(ctx echo.Context, ans weir.Answer) error {
 	head := ctx.Response().Header()
 	head.Set(caller.HeaderOutcome, string(ans.Kind))
-	if ans.Kind == weir.Whole {
+	if ans.Kind == weir.Complete {
 		head.Set(echo.HeaderContentLength, strconv.Itoa(len(ans.Body)))
 		return ctx.Blob(ans.Status, ans.ContentType, ans.Body)
 	}
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -304,7 +304,7 @@
 			next = weir.AnswerUnknown(next.Reason)
 		}
 		ans = next
-		if ans.Kind == weir.Whole || (!again && !dp.mayRetry(req, ans)) {
+		if ans.Kind == weir.Complete || (!again && !dp.mayRetry(req, ans)) {
 			break
 		}
 		pause(ctx, retryPause)
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -152,9 +152,9 @@
 		keyed      bool
 		want       weir.OutcomeKind
 	}{
-		{"answers", fine, false, true, weir.Whole},
-		{"answers without a key", fine, false, false, weir.Whole},
-		{"server error is the endpoint's own answer", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) }, false, true, weir.Whole},
+		{"answers", fine, false, true, weir.Complete},
+		{"answers without a key", fine, false, false, weir.Complete},
+		{"server error is the endpoint's own answer", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) }, false, true, weir.Complete},
 		{"nobody listens", nil, false, true, weir.NotRun},
 		{"nobody listens, repeatable", nil, true, false, weir.NotRun},
 		{"refuses", refuseAll, false, true, weir.NotRun},
@@ -195,7 +195,7 @@
 	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
 	require.Equal(t, int32(1), runs.Load())
 	runs.Store(0)
-	require.Equal(t, weir.Whole, rg.lead(rg.request(t, true, false)).Kind)
+	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind)
 	require.Equal(t, int32(2), runs.Load())
 }
 
@@ -213,7 +213,7 @@
 	rg := newRig(t, handler(t, refuseAll), handler(t, refuseAll), handler(t, fine))
 	for range 3 {
 		ans := rg.lead(rg.request(t, false, true))
-		require.Contains(t, []weir.OutcomeKind{weir.Whole, weir.NotRun}, ans.Kind)
+		require.Contains(t, []weir.OutcomeKind{weir.Complete, weir.NotRun}, ans.Kind)
 	}
 }
 
@@ -231,7 +231,7 @@
 		go func() {
 			defer wg.Done()
 			ans := rg.lead(req)
-			require.Equal(t, weir.Whole, ans.Kind)
+			require.Equal(t, weir.Complete, ans.Kind)
 			require.Equal(t, "booked", string(ans.Body))
 		}()
 	}
@@ -251,7 +251,7 @@
 	require.Eventually(t, func() bool {
 		req.Deadline = rg.Clock.Now().Add(slowDeadline)
 		ans := rg.lead(req)
-		return ans.Kind == weir.Whole && string(ans.Body) == "booked late"
+		return ans.Kind == weir.Complete && string(ans.Body) == "booked late"
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
@@ -261,7 +261,7 @@
 	rg.mesh.down.Store(true)
 	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
 	require.Zero(t, runs.Load())
-	require.Equal(t, weir.Whole, rg.lead(rg.request(t, true, false)).Kind, "reads go on")
+	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind, "reads go on")
 }
 
 // TestTwoLeadersDoNotWaitForEachOther covers two entry instances that both
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -32,7 +32,7 @@
 	}
 	slot.Release(resultOf(resp.Status))
 	return weir.Answer{
-		Kind: weir.Whole, Status: resp.Status, ContentType: resp.Header("Content-Type"), Body: resp.Body,
+		Kind: weir.Complete, Status: resp.Status, ContentType: resp.Header("Content-Type"), Body: resp.Body,
 	}, false
 }
 
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -157,8 +157,8 @@
 func merge(a, b Result) Result {
 	a.Tries += b.Tries
 	a.Wrong = a.Wrong || b.Wrong
-	if b.Outcome == weir.Whole {
-		a.Outcome = weir.Whole
+	if b.Outcome == weir.Complete {
+		a.Outcome = weir.Complete
 	}
 	return a
 }
@@ -175,7 +175,7 @@
 		}
 		res.Wrong = res.Wrong || one.Wrong
 		told, res.Status, res.Reason = one.Outcome, one.Status, one.Reason
-		if told == weir.Whole {
+		if told == weir.Complete {
 			break
 		}
 		target++
@@ -215,7 +215,7 @@
 		Outcome: weir.OutcomeKind(resp.Header.Get(caller.HeaderOutcome)), Status: resp.StatusCode,
 		Reason: resp.Header.Get(caller.HeaderReason),
 	}
-	if res.Outcome == weir.Whole && resp.StatusCode == http.StatusOK {
+	if res.Outcome == weir.Complete && resp.StatusCode == http.StatusOK {
 		var ech worker.Echo
 		err := json.Unmarshal(body, &ech)
 		res.Wrong = err != nil || ech.Body != rq.body || ech.Key != key
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -94,7 +94,7 @@
 		ms.check(err)
 		st.Reserve(now, peerapi.Reserve{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
 		st.Finish(peerapi.Finish{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Answer{
-			Kind: weir.Whole, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
+			Kind: weir.Complete, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
 		}})
 	}
 	return st
--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -97,7 +97,7 @@
 	var firsts []time.Duration
 	for _, res := range results {
 		rep.addResult(res, counts)
-		if res.Outcome == weir.Whole && res.Tries == 1 {
+		if res.Outcome == weir.Complete && res.Tries == 1 {
 			firsts = append(firsts, res.FirstTook)
 		}
 	}
@@ -136,11 +136,11 @@
 	if res.Wrong {
 		rp.Wrong++
 	}
-	if res.Outcome != weir.Whole {
+	if res.Outcome != weir.Complete {
 		rp.Reasons[string(res.Outcome)+": "+res.Reason]++
 	}
 	switch res.Outcome {
-	case weir.Whole:
+	case weir.Complete:
 		rp.Whole++
 		if res.Key != "" && counts[res.Key] == 0 {
 			rp.Lost++
--- a/weir.go
+++ b/weir.go
@@ -45,8 +45,8 @@
 
 // The three kinds of answer; there is no fourth.
 const (
-	// Whole is the endpoint's complete answer.
-	Whole OutcomeKind = "whole"
+	// Complete is the endpoint's complete answer.
+	Complete OutcomeKind = "whole"
 	// NotRun says that the request certainly did not run and may be sent again.
 	NotRun OutcomeKind = "notRun"
 	// Unknown says that the request may have run. Asking again with the same
