--- a/internal/contract/endpoint/endpoint.go
+++ b/internal/contract/endpoint/endpoint.go
@@ -110,8 +110,8 @@
 	Reason  string `json:"reason,omitempty"`
 	// LeaseMillis is how long the lease holds from the time of the request.
 	LeaseMillis int64 `json:"leaseMillis"`
-	// EveryMillis is when to announce again.
-	EveryMillis int64 `json:"everyMillis"`
+	// AnnounceMillis is when to announce again.
+	AnnounceMillis int64 `json:"everyMillis"`
 	// UsageMillis is the shortest time between two usage reports; one that
 	// leaves reports at once.
 	UsageMillis int64            `json:"usageMillis"`
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -30,7 +30,7 @@
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	if reason := tb.refusal(ann); reason != "" {
-		return endpoint.Answer{Reason: reason, View: tb.view.Index, EveryMillis: AnnounceInterval.Milliseconds()}
+		return endpoint.Answer{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
@@ -47,7 +47,7 @@
 		tb.pumpFor(now, wk)
 	}
 	return endpoint.Answer{
-		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), EveryMillis: AnnounceInterval.Milliseconds(),
+		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), AnnounceMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
 		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
 	}
--- a/internal/standin/worker/announce.go
+++ b/internal/standin/worker/announce.go
@@ -59,8 +59,8 @@
 		// Tell at once that a newer view was seen; a drain may wait for it.
 		return pollEvery
 	}
-	if ans.EveryMillis > 0 {
-		return time.Duration(ans.EveryMillis) * time.Millisecond
+	if ans.AnnounceMillis > 0 {
+		return time.Duration(ans.AnnounceMillis) * time.Millisecond
 	}
 	return defaultEvery
 }
