--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -75,7 +75,7 @@
 var statusOf = map[command.RefusalKind]int{
 	command.RefusedConflict: http.StatusConflict,
 	command.RefusedInvalid:  http.StatusUnprocessableEntity,
-	command.RefusedUnknown:  http.StatusNotFound,
+	command.RefusedNotFound: http.StatusNotFound,
 	command.RefusedState:    http.StatusConflict,
 	command.RefusedBudget:   http.StatusConflict,
 	command.RefusedStale:    http.StatusConflict,
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -194,7 +194,7 @@
 const (
 	RefusedConflict RefusalKind = "conflict"
 	RefusedInvalid  RefusalKind = "invalid"
-	RefusedUnknown  RefusalKind = "notFound"
+	RefusedNotFound RefusalKind = "notFound"
 	RefusedState    RefusalKind = "wrongState"
 	RefusedBudget   RefusalKind = "budget"
 	RefusedStale    RefusalKind = "stale"
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -17,7 +17,7 @@
 	var ans command.Result
 	switch {
 	case !ok:
-		ans = refuse(command.RefusedUnknown, "no instance is named %s", id)
+		ans = refuse(command.RefusedNotFound, "no instance is named %s", id)
 	case mem.Phase != view.Serving:
 		ans = refuse(command.RefusedState, "instance %s is %s", id, mem.Phase)
 	case !st.Statuses[id].Up:
@@ -49,7 +49,7 @@
 		return *bad
 	}
 	if _, ok := st.Config.Pools[mv.To]; !ok {
-		return refuse(command.RefusedUnknown, "no pool is named %s", mv.To)
+		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
 	}
 	if mem.Pool == mv.To {
 		return refuse(command.RefusedState, "instance %s is in pool %s already", mv.Instance, mv.To)
@@ -83,7 +83,7 @@
 	pg := cmd.Permit
 	wave, ok := st.Waves[pg.Wave]
 	if !ok {
-		return refuse(command.RefusedUnknown, "no wave is named %s", pg.Wave)
+		return refuse(command.RefusedNotFound, "no wave is named %s", pg.Wave)
 	}
 	if wave.State != WaveRunning || !wave.Todo[pg.Instance] {
 		return refuse(command.RefusedState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
--- a/internal/fleet/fsm/report.go
+++ b/internal/fleet/fsm/report.go
@@ -30,7 +30,7 @@
 func (st *state) applyProcess(cmd command.Command) command.Result {
 	pr := cmd.Process
 	if _, ok := st.Processes[pr.ID]; pr.Forget && !ok {
-		return refuse(command.RefusedUnknown, "no process is named %s", pr.ID)
+		return refuse(command.RefusedNotFound, "no process is named %s", pr.ID)
 	}
 	if pr.Forget {
 		delete(st.Processes, pr.ID)
--- a/internal/fleet/fsm/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -20,12 +20,12 @@
 	}
 	for _, pool := range wc.Pools {
 		if _, ok := st.Config.Pools[pool]; !ok {
-			return refuse(command.RefusedUnknown, "no pool is named %s", pool)
+			return refuse(command.RefusedNotFound, "no pool is named %s", pool)
 		}
 	}
 	for _, zone := range wc.Zones {
 		if _, ok := st.Config.Sites[zone]; !ok {
-			return refuse(command.RefusedUnknown, "no site is named %s", zone)
+			return refuse(command.RefusedNotFound, "no site is named %s", zone)
 		}
 	}
 	wave := &Wave{
@@ -58,7 +58,7 @@
 	ws := cmd.WaveSet
 	wave, ok := st.Waves[ws.Name]
 	if !ok {
-		return refuse(command.RefusedUnknown, "no wave is named %s", ws.Name)
+		return refuse(command.RefusedNotFound, "no wave is named %s", ws.Name)
 	}
 	switch {
 	case ws.Action == command.WavePause && wave.State == WaveRunning:
