--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -193,7 +193,7 @@
 }
 
 // commit makes a change and returns what to reply where that fails.
-func (sv *Handler) commit(ctx context.Context, ch store.Change) (store.Answer, *jobapi.Reply) {
+func (sv *Handler) commit(ctx context.Context, ch store.Change) (store.Result, *jobapi.Reply) {
 	ans, err := sv.Committer.Commit(ctx, ch)
 	if err != nil {
 		rep := failure(err)
--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -41,7 +41,7 @@
 		data, err := store.Entry{At: testNow, Changes: []store.Change{ch}}.Encode()
 		require.NoError(t, err)
 		index++
-		answers, ok := st.Apply(index, data).([]store.Answer)
+		answers, ok := st.Apply(index, data).([]store.Result)
 		require.True(t, ok)
 		require.True(t, answers[0].Taken, answers[0].Reason)
 	}
--- a/internal/job/scheduler/committer.go
+++ b/internal/job/scheduler/committer.go
@@ -39,7 +39,7 @@
 
 type commit struct {
 	changes []store.Change
-	reply   func(answers []store.Answer, err error)
+	reply   func(answers []store.Result, err error)
 }
 
 // String is the step's name in logs.
@@ -93,7 +93,7 @@
 	}
 }
 
-func (cm *Committer) propose(ctx context.Context, en store.Entry) ([]store.Answer, error) {
+func (cm *Committer) propose(ctx context.Context, en store.Entry) ([]store.Result, error) {
 	data, err := en.Encode()
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answers, ok := value.([]store.Answer)
+	answers, ok := value.([]store.Result)
 	if !ok || len(answers) != len(en.Changes) {
 		return nil, &Error{Op: "commit", Kind: KindInternal, Err: errors.New("an answer for each change is missing")}
 	}
@@ -116,7 +116,7 @@
 // Submit queues changes; reply is called once, on the committer's goroutine,
 // and must not block. It reports false where too many wait: the changes are
 // then certainly not made and reply is not called.
-func (cm *Committer) Submit(changes []store.Change, reply func(answers []store.Answer, err error)) bool {
+func (cm *Committer) Submit(changes []store.Change, reply func(answers []store.Result, err error)) bool {
 	select {
 	case cm.queue <- commit{changes: changes, reply: reply}:
 		return true
@@ -128,10 +128,10 @@
 
 // Commit makes one change and waits for it. An error of KindBusy says that it
 // is certainly not made; any other error leaves that open.
-func (cm *Committer) Commit(ctx context.Context, ch store.Change) (store.Answer, error) {
+func (cm *Committer) Commit(ctx context.Context, ch store.Change) (store.Result, error) {
 	answers, err := cm.commitAll(ctx, []store.Change{ch})
 	if err != nil {
-		return store.Answer{}, err
+		return store.Result{}, err
 	}
 	return answers[0], nil
 }
@@ -142,13 +142,13 @@
 	return err
 }
 
-func (cm *Committer) commitAll(ctx context.Context, changes []store.Change) ([]store.Answer, error) {
+func (cm *Committer) commitAll(ctx context.Context, changes []store.Change) ([]store.Result, error) {
 	type result struct {
-		answers []store.Answer
+		answers []store.Result
 		err     error
 	}
 	done := make(chan result, 1)
-	if !cm.Submit(changes, func(answers []store.Answer, err error) { done <- result{answers, err} }) {
+	if !cm.Submit(changes, func(answers []store.Result, err error) { done <- result{answers, err} }) {
 		return nil, &Error{Op: "commit", Kind: KindBusy}
 	}
 	select {
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -25,7 +25,7 @@
 				"worker", id, "how", string(en.Reason), "checkpoint", en.Checkpoint)
 		}
 	}
-	reply := func(_ []store.Answer, err error) {
+	reply := func(_ []store.Result, err error) {
 		if err != nil {
 			at.ss.NotRecorded()
 			ow.changed(at)
@@ -67,7 +67,7 @@
 		"announcedAgo", now.Sub(at.announced).String())
 	var changes []store.Change
 	ow.Store.Read(func(rd store.Reader) { changes = ow.leave(re, rd, wk, "lease lapsed") })
-	at.dropping = ow.Committer.Submit(changes, func([]store.Answer, error) {
+	at.dropping = ow.Committer.Submit(changes, func([]store.Result, error) {
 		ow.mu.Lock()
 		at.dropping = false
 		ow.mu.Unlock()
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -187,7 +187,7 @@
 	op.Worker, op.Incarnation = wk.ID, wk.Incarnation
 	md.intent[op.Machine] = true
 	md.mine[op.Machine] = true
-	done := func([]store.Answer, error) {
+	done := func([]store.Result, error) {
 		ow.mu.Lock()
 		delete(md.intent, op.Machine)
 		ow.mu.Unlock()
@@ -271,7 +271,7 @@
 		ow.Store.Read(func(rd store.Reader) { changes = append(changes, ow.orderedAway(re, rd, order.Machine)...) })
 	}
 	// Until this is recorded the order would be sent again.
-	recorded := func([]store.Answer, error) {
+	recorded := func([]store.Result, error) {
 		ow.mu.Lock()
 		delete(re.machines.busy, order.Machine)
 		ow.mu.Unlock()
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -398,6 +398,6 @@
 	var ids []weir.JobID
 	ow.Store.Read(func(rd store.Reader) { ids = rd.Expired(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
 	if len(ids) > 0 {
-		ow.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Answer, error) {})
+		ow.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Result, error) {})
 	}
 }
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -43,7 +43,7 @@
 	for _, pl := range starts {
 		re.starting[weir.RunKey{Task: pl.Task, Run: pl.Run}] = true
 	}
-	if !ow.Committer.Submit(changes, func(answers []store.Answer, err error) { ow.started(re, starts, answers, err) }) {
+	if !ow.Committer.Submit(changes, func(answers []store.Result, err error) { ow.started(re, starts, answers, err) }) {
 		re.planned()
 	}
 }
@@ -56,7 +56,7 @@
 
 // started orders the runs whose intents are committed. It runs on the
 // committer's goroutine.
-func (ow *Scheduler) started(re *reign, starts []plan.Placement, answers []store.Answer, err error) {
+func (ow *Scheduler) started(re *reign, starts []plan.Placement, answers []store.Result, err error) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -79,7 +79,7 @@
 	}
 	data, err := store.Entry{At: testNow, Changes: append(all, changes...)}.Encode()
 	require.NoError(t, err)
-	answers, ok := st.Apply(1, data).([]store.Answer)
+	answers, ok := st.Apply(1, data).([]store.Result)
 	require.True(t, ok)
 	for _, ans := range answers {
 		require.True(t, ans.Taken, ans.Reason)
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -34,17 +34,17 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Answer is what became of one change.
-type Answer struct {
+// Result is what became of one change.
+type Result struct {
 	// Taken says that the state now holds the change.
 	Taken bool
 	// Reason tells why it was not taken.
 	Reason string
 }
 
-var taken = Answer{Taken: true}
+var taken = Result{Taken: true}
 
-func refused(reason string) Answer { return Answer{Reason: reason} }
+func refused(reason string) Result { return Result{Reason: reason} }
 
 // Store is the state machine. It is safe for concurrent use.
 type Store struct {
@@ -79,9 +79,9 @@
 	if err := json.Unmarshal(data, &en); err != nil {
 		invariant.Check(false, "entryReadable", "index", index, "err", err)
 		sr.Skip(index)
-		return []Answer(nil)
+		return []Result(nil)
 	}
-	answers := make([]Answer, len(en.Changes))
+	answers := make([]Result, len(en.Changes))
 	sr.mu.Lock()
 	sr.st.Index = index
 	for ix := range en.Changes {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (st *state) apply(at time.Time, ch *Change) Answer {
+func (st *state) apply(at time.Time, ch *Change) Result {
 	switch {
 	case ch.Catalog != nil:
 		return st.applyCatalog(ch.Catalog)
@@ -170,7 +170,7 @@
 }
 
 // applyCatalog keeps the highest version; an older one changes nothing.
-func (st *state) applyCatalog(pk *catalog.Packed) Answer {
+func (st *state) applyCatalog(pk *catalog.Packed) Result {
 	if pk.Version <= st.Packed.Version {
 		return refused("version is not newer")
 	}
@@ -184,9 +184,9 @@
 	return taken
 }
 
-func (st *state) applySubmit(at time.Time, jb *spec.Job) Answer {
+func (st *state) applySubmit(at time.Time, jb *spec.Job) Result {
 	if st.Jobs[jb.ID] != nil {
-		return Answer{Taken: true, Reason: "known"}
+		return Result{Taken: true, Reason: "known"}
 	}
 	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, RoundsLeft: jb.Occurrences()}
 	js.Rounds = make([][]StepState, jb.Occurrences())
@@ -202,7 +202,7 @@
 	return taken
 }
 
-func (st *state) applyCancel(at time.Time, id spec.JobID) Answer {
+func (st *state) applyCancel(at time.Time, id spec.JobID) Result {
 	js := st.Jobs[id]
 	if js == nil {
 		return refused("unknown job")
@@ -233,7 +233,7 @@
 	delete(st.Active, js.Spec.ID)
 }
 
-func (st *state) applyForget(ids []spec.JobID) Answer {
+func (st *state) applyForget(ids []spec.JobID) Result {
 	for _, id := range ids {
 		if js := st.Jobs[id]; js != nil && js.Phase.Over() && js.Placed == 0 {
 			delete(st.Jobs, id)
@@ -242,7 +242,7 @@
 	return taken
 }
 
-func (st *state) applyStart(at time.Time, sa *RunStart) Answer {
+func (st *state) applyStart(at time.Time, sa *RunStart) Result {
 	js := st.Jobs[sa.Task.Job]
 	if js == nil || js.Phase.Over() {
 		return refused("job is over")
@@ -275,7 +275,7 @@
 	return taken
 }
 
-func (st *state) applyEnd(at time.Time, en *RunEnd) Answer {
+func (st *state) applyEnd(at time.Time, en *RunEnd) Result {
 	js := st.Jobs[en.Task.Job]
 	if js == nil || js.Rounds == nil {
 		return refused("job is over")
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -49,11 +49,11 @@
 	}
 }
 
-func (fx *fixture) apply(ch Change) Answer {
+func (fx *fixture) apply(ch Change) Result {
 	data, err := Entry{At: testNow, Changes: []Change{ch}}.Encode()
 	require.NoError(fx.t, err)
 	fx.index++
-	answers, ok := fx.sr.Apply(fx.index, data).([]Answer)
+	answers, ok := fx.sr.Apply(fx.index, data).([]Result)
 	require.True(fx.t, ok)
 	return answers[0]
 }
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -7,7 +7,7 @@
 // applyJoin records a worker. A later life of the same id, or on the same
 // machine or address, ends the earlier one; what ran there is then uncertain
 // only where the id is the same, and the leader asks the new life about it.
-func (st *state) applyJoin(at time.Time, wk *Worker) Answer {
+func (st *state) applyJoin(at time.Time, wk *Worker) Result {
 	old := st.Workers[wk.ID]
 	if old != nil && old.Incarnation > wk.Incarnation {
 		return refused("an earlier life")
@@ -44,7 +44,7 @@
 	}
 }
 
-func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Answer {
+func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Result {
 	wk := st.Workers[lv.ID]
 	if wk == nil || wk.Incarnation != lv.Incarnation {
 		return refused("not the present life")
@@ -68,9 +68,9 @@
 	st.WorkerChanges++
 }
 
-func (st *state) applyWave(wv *Wave) Answer {
+func (st *state) applyWave(wv *Wave) Result {
 	if st.Waves[wv.Number] != nil {
-		return Answer{Taken: true, Reason: "known"}
+		return Result{Taken: true, Reason: "known"}
 	}
 	fresh := *wv
 	fresh.Begun = map[string]bool{}
@@ -78,7 +78,7 @@
 	return taken
 }
 
-func (st *state) applyMachine(op *MachineOperation) Answer {
+func (st *state) applyMachine(op *MachineOperation) Result {
 	if !op.Begun && !op.Void {
 		if st.Orders[op.Machine] != nil {
 			return refused("an operation is under way")
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -105,7 +105,7 @@
 	data, err := store.Entry{At: wd.clk.Now(), Changes: []store.Change{ch}}.Encode()
 	require.NoError(wd.t, err)
 	wd.index++
-	answers, ok := wd.st.Apply(wd.index, data).([]store.Answer)
+	answers, ok := wd.st.Apply(wd.index, data).([]store.Result)
 	require.True(wd.t, ok)
 	return answers[0].Taken
 }
