--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -66,13 +66,13 @@
 
 // StatusAnswer is the state of the fleet.
 type StatusAnswer struct {
-	Leader    string            `json:"leader"`
-	Index     uint64            `json:"index"`
-	Number    uint64            `json:"number"`
-	Processes []peerapi.Process `json:"processes"`
-	Pools     []fsm.PoolStatus  `json:"pools"`
-	Moves     uint64            `json:"moves"`
-	Demand    []peerapi.Demand  `json:"demand"`
+	Leader    string                 `json:"leader"`
+	Index     uint64                 `json:"index"`
+	Number    uint64                 `json:"number"`
+	Processes []peerapi.EntryProcess `json:"processes"`
+	Pools     []fsm.PoolStatus       `json:"pools"`
+	Moves     uint64                 `json:"moves"`
+	Demand    []peerapi.Demand       `json:"demand"`
 }
 
 // InForce reports whether a configuration is in force at each process that is
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -91,8 +91,8 @@
 	Acked    []command.UsageAck `json:"acked,omitempty"`
 }
 
-// Process is an entry instance as the leader knows it.
-type Process struct {
+// EntryProcess is an entry instance as the leader knows it.
+type EntryProcess struct {
 	ID     string    `json:"id"`
 	Zone   weir.Zone `json:"zone"`
 	View   uint64    `json:"view"`
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -76,12 +76,12 @@
 
 // Processes returns the state of all known entry instances. While a leader is
 // new, those that have not reported yet count as heard, with no number.
-func (rg *Registry) Processes(now time.Time, known map[string]weir.Zone) []peerapi.Process {
+func (rg *Registry) Processes(now time.Time, known map[string]weir.Zone) []peerapi.EntryProcess {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	list := make([]peerapi.Process, 0, len(known))
+	list := make([]peerapi.EntryProcess, 0, len(known))
 	for id, zone := range known {
-		pr := peerapi.Process{ID: id, Zone: zone, Heard: now.Sub(rg.since) < UnheardAfter}
+		pr := peerapi.EntryProcess{ID: id, Zone: zone, Heard: now.Sub(rg.since) < UnheardAfter}
 		if en, ok := rg.entries[id]; ok {
 			pr.View, pr.Number, pr.HeardAt = en.report.View, en.report.Number, en.heardAt
 			pr.Heard = now.Sub(en.heardAt) <= UnheardAfter
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -122,8 +122,8 @@
 }
 
 // Processes returns the state of the roll-out as the leader knows it.
-func (sv *Service) Processes(ctx context.Context) ([]peerapi.Process, error) {
-	var list []peerapi.Process
+func (sv *Service) Processes(ctx context.Context) ([]peerapi.EntryProcess, error) {
+	var list []peerapi.EntryProcess
 	if !sv.Leads() {
 		err := sv.atLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
 		return list, err
