--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -73,12 +73,12 @@
 
 // statusOf maps refusals to HTTP.
 var statusOf = map[command.RefusalKind]int{
-	command.RefusedConflict: http.StatusConflict,
-	command.RefusedInvalid:  http.StatusUnprocessableEntity,
-	command.RefusedNotFound: http.StatusNotFound,
-	command.RefusedState:    http.StatusConflict,
-	command.RefusedBudget:   http.StatusConflict,
-	command.RefusedStale:    http.StatusConflict,
+	command.RefusedConflict:   http.StatusConflict,
+	command.RefusedInvalid:    http.StatusUnprocessableEntity,
+	command.RefusedNotFound:   http.StatusNotFound,
+	command.RefusedWrongState: http.StatusConflict,
+	command.RefusedBudget:     http.StatusConflict,
+	command.RefusedStale:      http.StatusConflict,
 }
 
 // propose commits an operator's command and answers with the result. An
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -192,12 +192,12 @@
 
 // The kinds of refusals.
 const (
-	RefusedConflict RefusalKind = "conflict"
-	RefusedInvalid  RefusalKind = "invalid"
-	RefusedNotFound RefusalKind = "notFound"
-	RefusedState    RefusalKind = "wrongState"
-	RefusedBudget   RefusalKind = "budget"
-	RefusedStale    RefusalKind = "stale"
+	RefusedConflict   RefusalKind = "conflict"
+	RefusedInvalid    RefusalKind = "invalid"
+	RefusedNotFound   RefusalKind = "notFound"
+	RefusedWrongState RefusalKind = "wrongState"
+	RefusedBudget     RefusalKind = "budget"
+	RefusedStale      RefusalKind = "stale"
 )
 
 // Refusal says why a command changed nothing.
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -19,7 +19,7 @@
 	}
 	for _, pool := range ca.Delta.DropPools {
 		if st.sizes[pool] > 0 {
-			return refuse(command.RefusedState, "pool %s still holds %d instances; move them first", pool, st.sizes[pool])
+			return refuse(command.RefusedWrongState, "pool %s still holds %d instances; move them first", pool, st.sizes[pool])
 		}
 	}
 	st.Config = cfg
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -19,9 +19,9 @@
 	case !ok:
 		ans = refuse(command.RefusedNotFound, "no instance is named %s", id)
 	case mem.Phase != view.Serving:
-		ans = refuse(command.RefusedState, "instance %s is %s", id, mem.Phase)
+		ans = refuse(command.RefusedWrongState, "instance %s is %s", id, mem.Phase)
 	case !st.Statuses[id].Up:
-		ans = refuse(command.RefusedState, "instance %s is not up", id)
+		ans = refuse(command.RefusedWrongState, "instance %s is not up", id)
 	default:
 		return mem, nil
 	}
@@ -52,7 +52,7 @@
 		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
 	}
 	if mem.Pool == mv.To {
-		return refuse(command.RefusedState, "instance %s is in pool %s already", mv.Instance, mv.To)
+		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.To)
 	}
 	mem.Purpose = view.ForMove
 	mem.To = mv.To
@@ -64,7 +64,7 @@
 	id := cmd.Retire.Instance
 	mem, ok := st.Members[id]
 	if ok && mem.Home != "" {
-		return refuse(command.RefusedState, "instance %s is in the configuration", id)
+		return refuse(command.RefusedWrongState, "instance %s is in the configuration", id)
 	}
 	if ok && mem.Phase == view.Serving && !st.Statuses[id].Up {
 		st.dropMember(id)
@@ -86,10 +86,10 @@
 		return refuse(command.RefusedNotFound, "no wave is named %s", pg.Wave)
 	}
 	if wave.State != WaveRunning || !wave.Todo[pg.Instance] {
-		return refuse(command.RefusedState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
+		return refuse(command.RefusedWrongState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
 	}
 	if len(wave.Active) >= wave.MaxParallel {
-		return refuse(command.RefusedState, "wave %s has %d instances in work", pg.Wave, len(wave.Active))
+		return refuse(command.RefusedWrongState, "wave %s has %d instances in work", pg.Wave, len(wave.Active))
 	}
 	mem, bad := st.serving(pg.Instance)
 	if bad != nil {
@@ -112,7 +112,7 @@
 	co := cmd.DrainConfirmation
 	mem, ok := st.Members[co.Instance]
 	if !ok || mem.Phase != view.Draining {
-		return refuse(command.RefusedState, "instance %s is not draining", co.Instance)
+		return refuse(command.RefusedWrongState, "instance %s is not draining", co.Instance)
 	}
 	sta := st.Statuses[co.Instance]
 	if co.View < mem.Since || co.Incarnation != sta.Incarnation || co.Epoch != sta.Epoch || co.Entry != sta.Entry {
@@ -141,7 +141,7 @@
 	id := cmd.Abandon.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Draining {
-		return refuse(command.RefusedState, "instance %s is not draining", id)
+		return refuse(command.RefusedWrongState, "instance %s is not draining", id)
 	}
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
@@ -159,7 +159,7 @@
 func (st *state) applyReboot(cmd command.Command, ch *change) command.Result {
 	mem, ok := st.Members[cmd.Reboot.Instance]
 	if !ok || mem.Phase != view.Drained || mem.Operation != cmd.Reboot.Operation {
-		return refuse(command.RefusedState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
+		return refuse(command.RefusedWrongState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
 	}
 	st.enter(mem, view.Returning, cmd, ch)
 	return command.Result{}
@@ -172,7 +172,7 @@
 	mem, ok := st.Members[id]
 	sta := st.Statuses[id]
 	if !ok || mem.Phase != view.Returning || !sta.Up || sta.Incarnation <= mem.OldIncarnation {
-		return refuse(command.RefusedState, "instance %s has not come back", id)
+		return refuse(command.RefusedWrongState, "instance %s has not come back", id)
 	}
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
@@ -190,7 +190,7 @@
 	id := cmd.Stuck.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Returning || mem.Stuck {
-		return refuse(command.RefusedState, "instance %s is not returning", id)
+		return refuse(command.RefusedWrongState, "instance %s is not returning", id)
 	}
 	mem.Stuck = true
 	st.putMember(mem, ch)
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -166,7 +166,7 @@
 	_, serves := be.vw.Serves("n0")
 	require.False(t, serves, "no work while it drains")
 	since := be.vw.Members["n0"].Since
-	be.refused(command.RefusedState, move("n0", "lab"))
+	be.refused(command.RefusedWrongState, move("n0", "lab"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 1, since-1, "e1"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 0, since, "e1"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 1, since, "e2"))
@@ -175,7 +175,7 @@
 	service, serves := be.vw.Serves("n0")
 	require.True(t, serves)
 	require.Equal(t, weir.ServiceName("lab"), service)
-	be.refused(command.RefusedState, be.consent("n0", 1, 1, since, "e1"))
+	be.refused(command.RefusedWrongState, be.consent("n0", 1, 1, since, "e1"))
 	be.mc.Read(func(rd Reader) { require.Equal(t, uint64(1), rd.Moves()) })
 }
 
@@ -212,7 +212,7 @@
 	be.refused(command.RefusedConflict, wave("w1", 2))
 	be.ok(wave("w2", 2))
 	be.ok(permit("w1", "n0"))
-	be.refused(command.RefusedState, permit("w2", "n0"))
+	be.refused(command.RefusedWrongState, permit("w2", "n0"))
 	be.ok(permit("w2", "n1"))
 	be.refused(command.RefusedBudget, permit("w1", "n2"))
 	mem := be.vw.Members["n0"]
@@ -220,13 +220,13 @@
 	op := be.vw.Members["n0"].Operation
 	reboot := command.Command{Reboot: &command.RebootDone{Instance: "n0", Operation: op}}
 	be.ok(reboot)
-	be.refused(command.RefusedState, reboot)
+	be.refused(command.RefusedWrongState, reboot)
 	release := command.Command{Release: &command.PermitRelease{Instance: "n0"}}
-	be.refused(command.RefusedState, release) // still the old incarnation
+	be.refused(command.RefusedWrongState, release) // still the old incarnation
 	be.status("n0", 2, 1, true)
 	be.refused(command.RefusedBudget, permit("w1", "n2")) // not proven back yet
 	be.status("n0", 2, 1, false)                          // a second loss right after the repair
-	be.refused(command.RefusedState, release)
+	be.refused(command.RefusedWrongState, release)
 	be.status("n0", 2, 2, true)
 	be.ok(release)
 	be.ok(permit("w1", "n2"))
--- a/internal/fleet/fsm/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -70,7 +70,7 @@
 		wave.State = WaveAborted
 		wave.EndedAt = cmd.At
 	default:
-		return refuse(command.RefusedState, "cannot %s wave %s, it is %s", ws.Action, ws.Name, wave.State)
+		return refuse(command.RefusedWrongState, "cannot %s wave %s, it is %s", ws.Action, ws.Name, wave.State)
 	}
 	return command.Result{}
 }
