--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -324,7 +324,7 @@
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Incarnation, "pool", wk.Pool,
-		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Taken,
+		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Applied,
 		"reason", ans.Reason)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
--- a/internal/job/scheduler/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -43,7 +43,7 @@
 		index++
 		answers, ok := st.Apply(index, data).([]store.Result)
 		require.True(t, ok)
-		require.True(t, answers[0].Taken, answers[0].Reason)
+		require.True(t, answers[0].Applied, answers[0].Reason)
 	}
 	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, LongRunning: true, MaxUnavailable: 1}}}})
 	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -68,7 +68,7 @@
 	placed := map[weir.TaskRef][]weir.InstanceID{}
 	ow.Store.Read(func(rd store.Reader) {
 		for ix, pl := range starts {
-			if !answers[ix].Taken {
+			if !answers[ix].Applied {
 				_ = ow.Logger.Log("level", "info", "msg", "start not taken", "job", pl.Task.Job, "task", pl.Task,
 					"run", pl.Run, "worker", pl.Worker, "reason", answers[ix].Reason)
 				continue
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -82,7 +82,7 @@
 	answers, ok := st.Apply(1, data).([]store.Result)
 	require.True(t, ok)
 	for _, ans := range answers {
-		require.True(t, ans.Taken, ans.Reason)
+		require.True(t, ans.Applied, ans.Reason)
 	}
 	return st
 }
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -36,13 +36,13 @@
 
 // Result is what became of one change.
 type Result struct {
-	// Taken says that the state now holds the change.
-	Taken bool
+	// Applied says that the state now holds the change.
+	Applied bool
 	// Reason tells why it was not taken.
 	Reason string
 }
 
-var taken = Result{Taken: true}
+var taken = Result{Applied: true}
 
 func refused(reason string) Result { return Result{Reason: reason} }
 
@@ -186,7 +186,7 @@
 
 func (st *state) applySubmit(at time.Time, jb *spec.Job) Result {
 	if st.Jobs[jb.ID] != nil {
-		return Result{Taken: true, Reason: "known"}
+		return Result{Applied: true, Reason: "known"}
 	}
 	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, RoundsLeft: jb.Occurrences()}
 	js.Rounds = make([][]StepState, jb.Occurrences())
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -60,12 +60,12 @@
 
 func (fx *fixture) taken(ch Change) {
 	ans := fx.apply(ch)
-	require.True(fx.t, ans.Taken, "%+v: %s", ch, ans.Reason)
+	require.True(fx.t, ans.Applied, "%+v: %s", ch, ans.Reason)
 }
 
 func (fx *fixture) refused(ch Change, reason string) {
 	ans := fx.apply(ch)
-	require.False(fx.t, ans.Taken)
+	require.False(fx.t, ans.Applied)
 	require.Equal(fx.t, reason, ans.Reason)
 }
 
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -70,7 +70,7 @@
 
 func (st *state) applyWave(wv *Wave) Result {
 	if st.Waves[wv.Number] != nil {
-		return Result{Taken: true, Reason: "known"}
+		return Result{Applied: true, Reason: "known"}
 	}
 	fresh := *wv
 	fresh.Begun = map[string]bool{}
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -107,7 +107,7 @@
 	wd.index++
 	answers, ok := wd.st.Apply(wd.index, data).([]store.Result)
 	require.True(wd.t, ok)
-	return answers[0].Taken
+	return answers[0].Applied
 }
 
 // lead opens the sessions of a new leader. Orders of the last one that are on
