--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -80,7 +80,7 @@
 func (sa StatusAnswer) InForce(number uint64) (inForce bool, unheard []string) {
 	inForce = sa.Number >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
-		if !pr.Heard {
+		if !pr.Reporting {
 			unheard = append(unheard, pr.ID)
 			continue
 		}
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -97,9 +97,9 @@
 	Zone   weir.Zone `json:"zone"`
 	View   uint64    `json:"view"`
 	Number uint64    `json:"number"`
-	// Heard is false for a process that has not reported lately.
-	Heard   bool      `json:"heard"`
-	HeardAt time.Time `json:"heardAt"`
+	// Reporting is false for a process that has not reported lately.
+	Reporting bool      `json:"heard"`
+	HeardAt   time.Time `json:"heardAt"`
 }
 
 // Advert tells how many slots of a service are free at an entry instance.
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -81,10 +81,10 @@
 	defer rg.mu.Unlock()
 	list := make([]peerapi.EntryProcess, 0, len(known))
 	for id, zone := range known {
-		pr := peerapi.EntryProcess{ID: id, Zone: zone, Heard: now.Sub(rg.since) < UnheardAfter}
+		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.since) < UnheardAfter}
 		if en, ok := rg.entries[id]; ok {
 			pr.View, pr.Number, pr.HeardAt = en.report.View, en.report.Number, en.heardAt
-			pr.Heard = now.Sub(en.heardAt) <= UnheardAfter
+			pr.Reporting = now.Sub(en.heardAt) <= UnheardAfter
 		}
 		list = append(list, pr)
 	}
