--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -69,8 +69,8 @@
 			return err
 		}
 		return rm.show(ans, func() {
-			if ans.Number > 0 {
-				fmt.Printf("accepted as configuration %d (log index %d)\n", ans.Number, ans.Index)
+			if ans.ConfigNumber > 0 {
+				fmt.Printf("accepted as configuration %d (log index %d)\n", ans.ConfigNumber, ans.Index)
 				return
 			}
 			fmt.Printf("accepted (log index %d)\n", ans.Index)
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -210,9 +210,9 @@
 // Result is the state machine's answer to a command. A request id that is
 // used again gets the first answer.
 type Result struct {
-	Index   uint64   `json:"index"`
-	Number  uint64   `json:"number,omitempty"`
-	Refusal *Refusal `json:"refusal,omitempty"`
+	Index        uint64   `json:"index"`
+	ConfigNumber uint64   `json:"number,omitempty"`
+	Refusal      *Refusal `json:"refusal,omitempty"`
 	// Repeated is set where the answer is that of an earlier equal request.
 	Repeated bool `json:"repeated,omitempty"`
 	// Acked counts the usage reports that are settled now.
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -33,7 +33,7 @@
 	}
 	ch.config = &ca.Delta
 	st.placeInstances(cmd, ch)
-	return command.Result{Number: st.Number}
+	return command.Result{ConfigNumber: st.Number}
 }
 
 // placeInstances brings members in line with the instances of a new
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -134,10 +134,10 @@
 	cmd := apply(1, fleet(), changed)
 	cmd.RequestID = "r1"
 	first := be.do(cmd)
-	require.Equal(t, uint64(2), first.Number)
+	require.Equal(t, uint64(2), first.ConfigNumber)
 	again := be.do(cmd)
 	require.True(t, again.Repeated)
-	require.Equal(t, first.Number, again.Number)
+	require.Equal(t, first.ConfigNumber, again.ConfigNumber)
 	require.Equal(t, uint64(2), be.vw.Number)
 
 	snap, err := be.mc.Snapshot()
