--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -84,7 +84,7 @@
 		Store: str, Committer: com, Leadership: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineOrderRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
 		Lease: workerLease, Retention: ho.Retention, OnLeadershipChange: ho.Leading, HolderName: ho.Name, MachineOrderDelay: ho.Turn,
 	}
-	str.Applied = own.Wake
+	str.OnApplied = own.Wake
 	ho.service = &handler.Handler{
 		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -91,7 +91,7 @@
 		Store: str, Committer: com, Leadership: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
-	str.Applied = own.Wake
+	str.OnApplied = own.Wake
 	svc := &handler.Handler{
 		Self: self, Store: str, Committer: com, Owner: own, Lead: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -48,8 +48,8 @@
 
 // Store is the state machine. It is safe for concurrent use.
 type Store struct {
-	// Applied is called after each entry, outside the lock; it may be nil.
-	Applied func()
+	// OnApplied is called after each entry, outside the lock; it may be nil.
+	OnApplied func()
 	// Clock dates orders for machines on this member; nil dates nothing.
 	Clock weir.Clock
 
@@ -91,8 +91,8 @@
 		}
 	}
 	sr.mu.Unlock()
-	if sr.Applied != nil {
-		sr.Applied()
+	if sr.OnApplied != nil {
+		sr.OnApplied()
 	}
 	return answers
 }
@@ -137,8 +137,8 @@
 		sr.restoredAt = sr.Clock.Now()
 	}
 	sr.mu.Unlock()
-	if sr.Applied != nil {
-		sr.Applied()
+	if sr.OnApplied != nil {
+		sr.OnApplied()
 	}
 	return nil
 }
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -181,7 +181,7 @@
 		own.Machines = sg.fleet
 	}
 	sg.store.Clock = sg.clock
-	sg.store.Applied = own.Wake
+	sg.store.OnApplied = own.Wake
 	sg.service = &handler.Handler{
 		Store: sg.store, Committer: com, Owner: own, Lead: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
