--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -98,8 +98,8 @@
 	View   uint64    `json:"view"`
 	Number uint64    `json:"number"`
 	// Reporting is false for a process that has not reported lately.
-	Reporting bool      `json:"heard"`
-	HeardAt   time.Time `json:"heardAt"`
+	Reporting    bool      `json:"heard"`
+	LastReportAt time.Time `json:"heardAt"`
 }
 
 // Advert tells how many slots of a service are free at an entry instance.
