--- a/internal/control/hub/hub.go
+++ b/internal/control/hub/hub.go
@@ -159,7 +159,7 @@
 	if first == len(hb.effects) {
 		return nil, first == 0
 	}
-	if hb.effects[first].After != sent {
+	if hb.effects[first].PrevIndex != sent {
 		return nil, true
 	}
 	last := min(len(hb.effects), first+maxEffectBatch)
--- a/internal/control/hub/hub_test.go
+++ b/internal/control/hub/hub_test.go
@@ -84,7 +84,7 @@
 	}
 	publish := func(index uint64) {
 		mu.Lock()
-		eff := view.Effect{After: last, Index: index}
+		eff := view.Effect{PrevIndex: last, Index: index}
 		last = index
 		mu.Unlock()
 		hb.Publish(eff)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -74,13 +74,13 @@
 
 // Effect is what one index of the log changes in views.
 type Effect struct {
-	// After is the index of the effect before this one.
-	After   uint64            `json:"after"`
-	Index   uint64            `json:"index"`
-	Number  uint64            `json:"number,omitempty"`
-	Config  *model.Delta      `json:"config,omitempty"`
-	Members []Member          `json:"members,omitempty"`
-	Gone    []weir.InstanceID `json:"gone,omitempty"`
+	// PrevIndex is the index of the effect before this one.
+	PrevIndex uint64            `json:"after"`
+	Index     uint64            `json:"index"`
+	Number    uint64            `json:"number,omitempty"`
+	Config    *model.Delta      `json:"config,omitempty"`
+	Members   []Member          `json:"members,omitempty"`
+	Gone      []weir.InstanceID `json:"gone,omitempty"`
 }
 
 // View is the state at one index. Treat it as immutable.
@@ -98,7 +98,7 @@
 	if eff.Index <= vw.Index {
 		return vw, nil
 	}
-	if eff.After != vw.Index {
+	if eff.PrevIndex != vw.Index {
 		return vw, &Error{Op: "apply effect", Kind: KindGap}
 	}
 	vw.Index = eff.Index
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -44,7 +44,7 @@
 	begin := ms.clk.Now()
 	cpu := cpuMicros(effects*listeners, func() {
 		for ix := range effects {
-			hb.Publish(view.Effect{After: uint64(ix), Index: uint64(ix) + 1, Config: &delta})
+			hb.Publish(view.Effect{PrevIndex: uint64(ix), Index: uint64(ix) + 1, Config: &delta})
 			for got.Load() < int64((ix+1)*listeners) {
 				time.Sleep(20 * time.Microsecond)
 			}
