--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -267,6 +267,6 @@
 		return unreadable(ctx, err)
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: &store.Wave{
-		Number: wv.Number, Machines: wv.Machines, AtOnce: wv.AtOnce, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
+		Number: wv.Number, Machines: wv.Machines, MaxParallel: wv.AtOnce, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
 	}})
 }
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -342,14 +342,14 @@
 }
 
 func (sv *Handler) startWave(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	if call.Wave.Number == 0 || call.Wave.AtOnce < 1 {
+	if call.Wave.Number == 0 || call.Wave.MaxParallel < 1 {
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: "a wave has a number and at least one machine at a time"}
 	}
 	if _, failed := sv.commit(ctx, store.Change{Wave: call.Wave}); failed != nil {
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "wave accepted", "wave", call.Wave.Number,
-		"machines", len(call.Wave.Machines), "atOnce", call.Wave.AtOnce, "deadline", call.Wave.Deadline)
+		"machines", len(call.Wave.Machines), "atOnce", call.Wave.MaxParallel, "deadline", call.Wave.Deadline)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -62,7 +62,7 @@
 			waiting = append(waiting, ow.candidate(re, rd, machine, byMachine[machine]))
 		}
 	}
-	free := waveWidth(len(waiting), wv.AtOnce, wv.Deadline.Sub(ow.Wall.Now()), md.short) - away
+	free := waveWidth(len(waiting), wv.MaxParallel, wv.Deadline.Sub(ow.Wall.Now()), md.short) - away
 	sortCandidates(waiting)
 	for _, machine := range toDrain(waiting, free+drainAhead) {
 		md.cordon[machine] = now
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -105,8 +105,8 @@
 	Number   int64     `json:"number"`
 	Machines []string  `json:"machines"`
 	Deadline time.Time `json:"deadline"`
-	// AtOnce bounds the machines that are away at a time.
-	AtOnce int `json:"atOnce"`
+	// MaxParallel bounds the machines that are away at a time.
+	MaxParallel int `json:"atOnce"`
 	// Begun holds the machines whose maintenance has begun.
 	Begun map[string]bool `json:"begun,omitempty"`
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -207,7 +207,7 @@
 
 func TestWaves(t *testing.T) {
 	fx := newFixture(t)
-	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, AtOnce: 1}})
+	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, MaxParallel: 1}})
 	done := func() (done bool) {
 		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].Done() })
 		return done
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -312,7 +312,7 @@
 // wave asks for maintenance of each machine that a share picks.
 func (sg *stage) wave(ctx context.Context, wv Wave) {
 	sleep(ctx, wv.At)
-	order := &store.Wave{Number: 1, AtOnce: wv.AtOnce, Deadline: sg.clock.Now().Add(wv.Within)}
+	order := &store.Wave{Number: 1, MaxParallel: wv.AtOnce, Deadline: sg.clock.Now().Add(wv.Within)}
 	for number := range sg.Load.machines() {
 		if picked(number, wv.Share) {
 			order.Machines = append(order.Machines, machineName(number))
