--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -80,7 +80,7 @@
 	Number    uint64            `json:"number,omitempty"`
 	Config    *model.Delta      `json:"config,omitempty"`
 	Members   []Member          `json:"members,omitempty"`
-	Gone      []weir.InstanceID `json:"gone,omitempty"`
+	Removed   []weir.InstanceID `json:"gone,omitempty"`
 }
 
 // View is the state at one index. Treat it as immutable.
@@ -106,7 +106,7 @@
 		vw.Config = vw.Config.With(*eff.Config)
 		vw.Number = eff.Number
 	}
-	if len(eff.Members)+len(eff.Gone) == 0 {
+	if len(eff.Members)+len(eff.Removed) == 0 {
 		return vw, nil
 	}
 	members := make(map[weir.InstanceID]Member, len(vw.Members)+len(eff.Members))
@@ -116,7 +116,7 @@
 	for _, mem := range eff.Members {
 		members[mem.Instance] = mem
 	}
-	for _, id := range eff.Gone {
+	for _, id := range eff.Removed {
 		delete(members, id)
 	}
 	vw.Members = members
