--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -49,10 +49,10 @@
 		switch {
 		case ordered && op.Wave == wv.Number:
 			away++
-		case md.intent[machine] && !ordered && !wv.Begun[machine]:
+		case md.intent[machine] && !ordered && !wv.Started[machine]:
 			away++
 		case ordered:
-		case wv.Begun[machine]:
+		case wv.Started[machine]:
 			if ow.back(re, byMachine[machine], machine) {
 				delete(md.cordon, machine)
 			} else {
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -107,14 +107,14 @@
 	Deadline time.Time `json:"deadline"`
 	// MaxParallel bounds the machines that are away at a time.
 	MaxParallel int `json:"atOnce"`
-	// Begun holds the machines whose maintenance has begun.
-	Begun map[string]bool `json:"begun,omitempty"`
+	// Started holds the machines whose maintenance has begun.
+	Started map[string]bool `json:"begun,omitempty"`
 }
 
 // Done reports whether each machine's maintenance has begun.
 func (wv Wave) Done() bool {
 	for _, mc := range wv.Machines {
-		if !wv.Begun[mc] {
+		if !wv.Started[mc] {
 			return false
 		}
 	}
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -73,7 +73,7 @@
 		return Result{Applied: true, Reason: "known"}
 	}
 	fresh := *wv
-	fresh.Begun = map[string]bool{}
+	fresh.Started = map[string]bool{}
 	st.Waves[wv.Number] = &fresh
 	return taken
 }
@@ -91,7 +91,7 @@
 	// A machine that the platform does not know, or not as part of the wave,
 	// holds the wave up no longer.
 	if wv := st.Waves[op.Wave]; wv != nil {
-		wv.Begun[op.Machine] = true
+		wv.Started[op.Machine] = true
 	}
 	return taken
 }
--- a/internal/standin/play/result.go
+++ b/internal/standin/play/result.go
@@ -97,7 +97,7 @@
 			pools[pd.pool.Name] = tally{pool.earned + earned, pool.owed + worth}
 		}
 		for _, wv := range rd.Waves() {
-			res.WaveDone = float64(len(wv.Begun)) / float64(max(len(wv.Machines), 1))
+			res.WaveDone = float64(len(wv.Started)) / float64(max(len(wv.Machines), 1))
 		}
 	})
 	res.Earned, res.Worst, res.WorstPool = all.share(), 1, 1
