--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -94,7 +94,7 @@
 	if ch.config == nil && len(ch.members) == 0 && len(ch.gone) == 0 {
 		return
 	}
-	eff := view.Effect{PrevIndex: mc.st.EffectIndex, Index: ch.index, Number: mc.st.Number, Config: ch.config, Removed: ch.gone}
+	eff := view.Effect{PrevIndex: mc.st.EffectIndex, Index: ch.index, ConfigNumber: mc.st.Number, Config: ch.config, Removed: ch.gone}
 	for _, mem := range ch.members {
 		eff.Members = append(eff.Members, mem)
 	}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -75,12 +75,12 @@
 // Effect is what one index of the log changes in views.
 type Effect struct {
 	// PrevIndex is the index of the effect before this one.
-	PrevIndex uint64            `json:"after"`
-	Index     uint64            `json:"index"`
-	Number    uint64            `json:"number,omitempty"`
-	Config    *model.Delta      `json:"config,omitempty"`
-	Members   []Member          `json:"members,omitempty"`
-	Removed   []weir.InstanceID `json:"gone,omitempty"`
+	PrevIndex    uint64            `json:"after"`
+	Index        uint64            `json:"index"`
+	ConfigNumber uint64            `json:"number,omitempty"`
+	Config       *model.Delta      `json:"config,omitempty"`
+	Members      []Member          `json:"members,omitempty"`
+	Removed      []weir.InstanceID `json:"gone,omitempty"`
 }
 
 // View is the state at one index. Treat it as immutable.
@@ -104,7 +104,7 @@
 	vw.Index = eff.Index
 	if eff.Config != nil {
 		vw.Config = vw.Config.With(*eff.Config)
-		vw.Number = eff.Number
+		vw.Number = eff.ConfigNumber
 	}
 	if len(eff.Members)+len(eff.Removed) == 0 {
 		return vw, nil
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestViewGoesForwardOnly(t *testing.T) {
-	first := Effect{Index: 3, Number: 1, Config: &model.Delta{Name: "one"}, Members: []Member{{Instance: "n0", Pool: "desk", Phase: Serving}}}
-	second := Effect{PrevIndex: 3, Index: 7, Number: 2, Config: &model.Delta{Name: "two"}, Removed: []weir.InstanceID{"n0"}}
+	first := Effect{Index: 3, ConfigNumber: 1, Config: &model.Delta{Name: "one"}, Members: []Member{{Instance: "n0", Pool: "desk", Phase: Serving}}}
+	second := Effect{PrevIndex: 3, Index: 7, ConfigNumber: 2, Config: &model.Delta{Name: "two"}, Removed: []weir.InstanceID{"n0"}}
 	vw, err := View{}.With(first)
 	require.NoError(t, err)
 	require.Equal(t, "one", vw.Config.Name)
