--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -192,7 +192,7 @@
 func (pr *entryProcess) dump() any {
 	vw := pr.follower.View()
 	return entryState{
-		View: vw.Index, Number: vw.Number, InFlight: pr.front.InFlight(), Ledger: pr.store.Stats(),
+		View: vw.Index, Number: vw.ConfigNumber, InFlight: pr.front.InFlight(), Ledger: pr.store.Stats(),
 		Endpoints: pr.table.Endpoints(), Demand: pr.table.Demand(),
 	}
 }
--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -17,7 +17,7 @@
 )
 
 func testView(index uint64, count int) view.View {
-	vw := view.View{Index: index, Number: 1, Members: map[weir.InstanceID]view.Member{}}
+	vw := view.View{Index: index, ConfigNumber: 1, Members: map[weir.InstanceID]view.Member{}}
 	vw.Config.Limits = model.Limits{SlotsPerInstance: 2, ConnectionsPerInstance: 4}
 	vw.Config.Services = map[weir.ServiceName]model.Service{"desk": {Name: "desk", QueueLength: 3, DeferrableShare: 25}}
 	vw.Config.Pools = map[weir.PoolName]model.Pool{"desk": {Name: "desk", Service: "desk"}}
--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -141,7 +141,7 @@
 	for id, mem := range mc.st.Members {
 		members[id] = mem
 	}
-	return view.View{Index: mc.st.EffectIndex, Number: mc.st.Number, Config: mc.st.Config, Members: members}
+	return view.View{Index: mc.st.EffectIndex, ConfigNumber: mc.st.Number, Config: mc.st.Config, Members: members}
 }
 
 // Read calls fn with a reader of the state while nothing changes.
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -124,7 +124,7 @@
 	be.ok(apply(1, fleet(), first))
 	be.refused(command.RefusedConflict, apply(1, fleet(), second))
 	require.Equal(t, "first", be.vw.Config.Name)
-	require.Equal(t, uint64(2), be.vw.Number)
+	require.Equal(t, uint64(2), be.vw.ConfigNumber)
 }
 
 func TestResentRequestGetsItsFirstAnswer(t *testing.T) {
@@ -138,7 +138,7 @@
 	again := be.do(cmd)
 	require.True(t, again.Repeated)
 	require.Equal(t, first.ConfigNumber, again.ConfigNumber)
-	require.Equal(t, uint64(2), be.vw.Number)
+	require.Equal(t, uint64(2), be.vw.ConfigNumber)
 
 	snap, err := be.mc.Snapshot()
 	require.NoError(t, err)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -86,10 +86,10 @@
 // View is the state at one index. Treat it as immutable.
 type View struct {
 	Index uint64 `json:"index"`
-	// Number is the number of the configuration in force.
-	Number  uint64                     `json:"number"`
-	Config  model.Config               `json:"config"`
-	Members map[weir.InstanceID]Member `json:"members"`
+	// ConfigNumber is the number of the configuration in force.
+	ConfigNumber uint64                     `json:"number"`
+	Config       model.Config               `json:"config"`
+	Members      map[weir.InstanceID]Member `json:"members"`
 }
 
 // With returns the view changed by an effect. An effect that is not newer
@@ -104,7 +104,7 @@
 	vw.Index = eff.Index
 	if eff.Config != nil {
 		vw.Config = vw.Config.With(*eff.Config)
-		vw.Number = eff.ConfigNumber
+		vw.ConfigNumber = eff.ConfigNumber
 	}
 	if len(eff.Members)+len(eff.Removed) == 0 {
 		return vw, nil
