--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -246,7 +246,7 @@
 	op := &store.MachineOperation{Machine: order.Machine, Wave: order.Wave, Pool: order.Pool}
 	switch ans {
 	case weir.MachineAccepted:
-		op.Begun = true
+		op.Started = true
 	case weir.MachineRefused:
 		op.Void = true
 	default:
@@ -263,7 +263,7 @@
 		return
 	}
 	changes := []store.Change{{Machine: op}}
-	if op.Begun {
+	if op.Started {
 		re.machines.answered[order.Machine] = ow.Clock.Now()
 		if order.Pool != "" {
 			re.machines.sent[order.Machine] = sentTo{pool: order.Pool, at: ow.Clock.Now()}
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -131,7 +131,7 @@
 	// Worker and Born name the life that the operation ends.
 	Worker      weir.InstanceID `json:"worker,omitempty"`
 	Incarnation int64           `json:"born,omitempty"`
-	Begun       bool            `json:"begun,omitempty"`
+	Started     bool            `json:"begun,omitempty"`
 	// Void says that the platform certainly did not and will not do it.
 	Void bool `json:"void,omitempty"`
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -214,7 +214,7 @@
 	}
 	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1}})
 	fx.refused(Change{Machine: &MachineOperation{Machine: "m0", Pool: "desk"}}, "an operation is under way")
-	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Begun: true}})
+	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Started: true}})
 	require.False(t, done())
 	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, Void: true}})
 	require.True(t, done(), "a machine that is not there holds nothing up")
