--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -46,7 +46,7 @@
 			mem = view.Member{Instance: id, Pool: inst.Pool, Phase: view.Serving, Since: ch.index, SinceAt: cmd.At}
 		}
 		mem.Zone = inst.Zone
-		mem.Home = inst.Pool
+		mem.ConfiguredPool = inst.Pool
 		st.putMember(mem, ch)
 	}
 	for _, id := range cmd.Config.Delta.DropInstances {
@@ -54,7 +54,7 @@
 		if !ok {
 			continue
 		}
-		mem.Home = ""
+		mem.ConfiguredPool = ""
 		st.putMember(mem, ch)
 	}
 }
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -63,7 +63,7 @@
 func (st *state) applyRetire(cmd command.Command, ch *change) command.Result {
 	id := cmd.Retire.Instance
 	mem, ok := st.Members[id]
-	if ok && mem.Home != "" {
+	if ok && mem.ConfiguredPool != "" {
 		return refuse(command.RefusedWrongState, "instance %s is in the configuration", id)
 	}
 	if ok && mem.Phase == view.Serving && !st.Statuses[id].Up {
@@ -121,7 +121,7 @@
 	switch mem.Purpose {
 	case view.ForMove:
 		mem.Pool = mem.To
-		if mem.Pool == mem.Home {
+		if mem.Pool == mem.ConfiguredPool {
 			mem.Lent = false
 		}
 		st.Moves++
@@ -149,7 +149,7 @@
 			wave.Todo[id] = true
 		}
 	}
-	if mem.Purpose == view.ForMove && mem.Pool == mem.Home {
+	if mem.Purpose == view.ForMove && mem.Pool == mem.ConfiguredPool {
 		mem.Lent = false
 	}
 	st.enter(mem, view.Serving, cmd, ch)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -54,14 +54,14 @@
 	Instance weir.InstanceID `json:"instance"`
 	Zone     weir.Zone       `json:"zone"`
 	Pool     weir.PoolName   `json:"pool"`
-	// Home is the pool that the configuration names; empty once it is gone
+	// ConfiguredPool is the pool that the configuration names; empty once it is gone
 	// from the configuration.
-	Home    weir.PoolName `json:"home,omitempty"`
-	Lent    bool          `json:"lent,omitempty"`
-	Phase   Phase         `json:"phase"`
-	Purpose Purpose       `json:"purpose,omitempty"`
-	To      weir.PoolName `json:"to,omitempty"`
-	Wave    string        `json:"wave,omitempty"`
+	ConfiguredPool weir.PoolName `json:"home,omitempty"`
+	Lent           bool          `json:"lent,omitempty"`
+	Phase          Phase         `json:"phase"`
+	Purpose        Purpose       `json:"purpose,omitempty"`
+	To             weir.PoolName `json:"to,omitempty"`
+	Wave           string        `json:"wave,omitempty"`
 	// Operation identifies a platform call for all retries of it.
 	Operation string `json:"operation,omitempty"`
 	// OldIncarnation is the one that was rebooted.
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -68,7 +68,7 @@
 func (pl *planner) unsettled() []view.Member {
 	var list []view.Member
 	for _, mem := range pl.rd.Members() {
-		if mem.Phase != view.Serving || mem.Pool != mem.Home {
+		if mem.Phase != view.Serving || mem.Pool != mem.ConfiguredPool {
 			list = append(list, mem)
 		}
 	}
@@ -129,11 +129,11 @@
 // retires those it no longer holds, as far as budgets allow.
 func (pl *planner) reachHomes(busy []view.Member) {
 	for _, mem := range busy {
-		if mem.Phase != view.Serving || mem.Lent || mem.Pool == mem.Home {
+		if mem.Phase != view.Serving || mem.Lent || mem.Pool == mem.ConfiguredPool {
 			continue
 		}
 		up := pl.rd.Statuses()[mem.Instance].Up
-		if mem.Home == "" && !up {
+		if mem.ConfiguredPool == "" && !up {
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
@@ -141,11 +141,11 @@
 			continue
 		}
 		pl.headroom[mem.Pool]--
-		if mem.Home == "" {
+		if mem.ConfiguredPool == "" {
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
-		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.Home}})
+		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.ConfiguredPool}})
 	}
 }
 
