--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -248,7 +248,7 @@
 	case weir.MachineAccepted:
 		op.Started = true
 	case weir.MachineRefused:
-		op.Void = true
+		op.NotExecuted = true
 	default:
 		op = nil
 	}
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -132,6 +132,6 @@
 	Worker      weir.InstanceID `json:"worker,omitempty"`
 	Incarnation int64           `json:"born,omitempty"`
 	Started     bool            `json:"begun,omitempty"`
-	// Void says that the platform certainly did not and will not do it.
-	Void bool `json:"void,omitempty"`
+	// NotExecuted says that the platform certainly did not and will not do it.
+	NotExecuted bool `json:"void,omitempty"`
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -216,7 +216,7 @@
 	fx.refused(Change{Machine: &MachineOperation{Machine: "m0", Pool: "desk"}}, "an operation is under way")
 	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Started: true}})
 	require.False(t, done())
-	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, Void: true}})
+	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, NotExecuted: true}})
 	require.True(t, done(), "a machine that is not there holds nothing up")
 	require.Equal(t, "known", fx.apply(Change{Wave: &Wave{Number: 1}}).Reason)
 }
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -79,7 +79,7 @@
 }
 
 func (st *state) applyMachine(op *MachineOperation) Result {
-	if !op.Started && !op.Void {
+	if !op.Started && !op.NotExecuted {
 		if st.Orders[op.Machine] != nil {
 			return refused("an operation is under way")
 		}
