--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -70,7 +70,7 @@
 	mem.Since = ch.index
 	mem.SinceAt = cmd.At
 	if phase == view.Serving {
-		mem.Purpose, mem.To, mem.Wave, mem.Operation = "", "", "", ""
+		mem.Purpose, mem.TargetPool, mem.Wave, mem.Operation = "", "", "", ""
 		mem.OldIncarnation, mem.Stuck = 0, false
 	}
 	st.putMember(mem, ch)
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -55,7 +55,7 @@
 		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.To)
 	}
 	mem.Purpose = view.ForMove
-	mem.To = mv.To
+	mem.TargetPool = mv.To
 	mem.Lent = mv.Lent
 	return st.startDrain(mem, cmd, ch)
 }
@@ -120,7 +120,7 @@
 	}
 	switch mem.Purpose {
 	case view.ForMove:
-		mem.Pool = mem.To
+		mem.Pool = mem.TargetPool
 		if mem.Pool == mem.ConfiguredPool {
 			mem.Lent = false
 		}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -60,7 +60,7 @@
 	Lent           bool          `json:"lent,omitempty"`
 	Phase          Phase         `json:"phase"`
 	Purpose        Purpose       `json:"purpose,omitempty"`
-	To             weir.PoolName `json:"to,omitempty"`
+	TargetPool     weir.PoolName `json:"to,omitempty"`
 	Wave           string        `json:"wave,omitempty"`
 	// Operation identifies a platform call for all retries of it.
 	Operation string `json:"operation,omitempty"`
