--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -146,7 +146,7 @@
 
 func addLoad(ld *balance.Load, js *store.JobState, wall time.Time) {
 	fresh := wall.Sub(js.Accepted) < balance.Window
-	for oc, round := range js.Rounds {
+	for oc, round := range js.Occurrences {
 		if js.Spec.DueAt(oc).After(wall) {
 			break
 		}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -269,7 +269,7 @@
 		if js == nil {
 			return
 		}
-		for _, round := range js.Rounds {
+		for _, round := range js.Occurrences {
 			for sp := range round {
 				for ix := range round[sp].Tasks {
 					if at := ow.reign.sessions[round[sp].Tasks[ix].Worker]; at != nil {
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -151,11 +151,11 @@
 	wall := ow.Wall.Now()
 	for _, dm := range demand {
 		js, qu := dm.job, dm.queue
-		for oc := range js.Rounds {
+		for oc := range js.Occurrences {
 			if due := js.Spec.DueAt(oc); due.After(wall) {
 				break
 			}
-			for sp := range js.Rounds[oc] {
+			for sp := range js.Occurrences[oc] {
 				if !js.Spec.Steps[sp].Reserved().Fits(room[qu.Pool]) {
 					continue
 				}
@@ -180,7 +180,7 @@
 // caller's estimates.
 func workLeft(js *store.JobState, oc int) float64 {
 	work := 0.0
-	for sp, ss := range js.Rounds[oc] {
+	for sp, ss := range js.Occurrences[oc] {
 		step := js.Spec.Steps[sp]
 		work += float64(ss.Left*step.Resources.MilliCPU) / 1000 * step.Estimate.Seconds()
 	}
@@ -188,7 +188,7 @@
 }
 
 func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (plan.Group, bool) {
-	ss := &js.Rounds[oc][sp]
+	ss := &js.Occurrences[oc][sp]
 	if ss.Left == 0 || !js.StepReady(oc, sp) {
 		return plan.Group{}, false
 	}
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -210,7 +210,7 @@
 // elsewhere.
 func (ow *Scheduler) away(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) int {
 	count := 0
-	tasks := rd.Job(step.Job).Rounds[step.Occurrence][step.Step].Tasks
+	tasks := rd.Job(step.Job).Occurrences[step.Occurrence][step.Step].Tasks
 	for ix := range tasks {
 		tk := &tasks[ix]
 		step.Index = ix
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -60,8 +60,8 @@
 	Phase    Phase     `json:"phase"`
 	// Begun says that a run of some task was ordered.
 	Begun bool `json:"begun,omitempty"`
-	// Rounds holds the steps of each occurrence; nil when it is over.
-	Rounds [][]StepState `json:"rounds,omitempty"`
+	// Occurrences holds the steps of each occurrence; nil when it is over.
+	Occurrences [][]StepState `json:"rounds,omitempty"`
 	// RoundsLeft counts the occurrences that are not done.
 	RoundsLeft int       `json:"left"`
 	Ended      time.Time `json:"ended,omitzero"`
@@ -71,10 +71,10 @@
 
 // Task returns a task, nil where there is none.
 func (js *JobState) Task(rf spec.TaskRef) *Task {
-	if rf.Occurrence >= len(js.Rounds) || rf.Step >= len(js.Spec.Steps) || js.Rounds[rf.Occurrence] == nil {
+	if rf.Occurrence >= len(js.Occurrences) || rf.Step >= len(js.Spec.Steps) || js.Occurrences[rf.Occurrence] == nil {
 		return nil
 	}
-	st := &js.Rounds[rf.Occurrence][rf.Step]
+	st := &js.Occurrences[rf.Occurrence][rf.Step]
 	if rf.Index < 0 || rf.Index >= len(st.Tasks) {
 		return nil
 	}
@@ -87,8 +87,8 @@
 	if !js.Spec.Steps[rf.Step].Gang {
 		return js.Task(rf).Checkpoint
 	}
-	for ix := range js.Rounds[rf.Occurrence][rf.Step].Tasks {
-		if cp := js.Rounds[rf.Occurrence][rf.Step].Tasks[ix].Checkpoint; cp != "" {
+	for ix := range js.Occurrences[rf.Occurrence][rf.Step].Tasks {
+		if cp := js.Occurrences[rf.Occurrence][rf.Step].Tasks[ix].Checkpoint; cp != "" {
 			return cp
 		}
 	}
@@ -101,7 +101,7 @@
 	if !js.Spec.Steps[key.Task.Step].Gang {
 		return true
 	}
-	tasks := js.Rounds[key.Task.Occurrence][key.Task.Step].Tasks
+	tasks := js.Occurrences[key.Task.Occurrence][key.Task.Step].Tasks
 	for ix := range tasks {
 		if !tasks[ix].Placed() || tasks[ix].Run != key.Run {
 			return false
@@ -116,7 +116,7 @@
 		return true
 	}
 	left := 0
-	for _, round := range js.Rounds {
+	for _, round := range js.Occurrences {
 		for sp := range round {
 			if js.Spec.Steps[sp].Gang {
 				return true // members that are placed may be done
@@ -130,7 +130,7 @@
 // StepReady reports whether all steps before a step are done.
 func (js *JobState) StepReady(occurrence, step int) bool {
 	for _, before := range js.Spec.Steps[step].After {
-		if js.Rounds[occurrence][before].Left > 0 {
+		if js.Occurrences[occurrence][before].Left > 0 {
 			return false
 		}
 	}
@@ -205,11 +205,11 @@
 	st.Loads = map[weir.InstanceID]WorkerLoad{}
 	st.indexQueues()
 	for id, js := range st.Jobs {
-		if js.Rounds != nil {
+		if js.Occurrences != nil {
 			st.Active[id] = true
 		}
 		st.addToQueue(js)
-		for oc, round := range js.Rounds {
+		for oc, round := range js.Occurrences {
 			for sp := range round {
 				for ix := range round[sp].Tasks {
 					tk := &round[sp].Tasks[ix]
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -189,11 +189,11 @@
 		return Result{Applied: true, Reason: "known"}
 	}
 	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, RoundsLeft: jb.Occurrences()}
-	js.Rounds = make([][]StepState, jb.Occurrences())
-	for oc := range js.Rounds {
-		js.Rounds[oc] = make([]StepState, len(jb.Steps))
+	js.Occurrences = make([][]StepState, jb.Occurrences())
+	for oc := range js.Occurrences {
+		js.Occurrences[oc] = make([]StepState, len(jb.Steps))
 		for sp, step := range jb.Steps {
-			js.Rounds[oc][sp] = StepState{Tasks: make([]Task, step.Count), Left: step.Count}
+			js.Occurrences[oc][sp] = StepState{Tasks: make([]Task, step.Count), Left: step.Count}
 		}
 	}
 	st.Jobs[jb.ID] = js
@@ -227,7 +227,7 @@
 	if !js.Phase.Over() || js.Placed > 0 {
 		return
 	}
-	js.Rounds = nil
+	js.Occurrences = nil
 	js.Spec.Text = ""
 	js.Spec.Steps = nil
 	delete(st.Active, js.Spec.ID)
@@ -277,7 +277,7 @@
 
 func (st *state) applyEnd(at time.Time, en *RunEnd) Result {
 	js := st.Jobs[en.Task.Job]
-	if js == nil || js.Rounds == nil {
+	if js == nil || js.Occurrences == nil {
 		return refused("job is over")
 	}
 	tk := js.Task(en.Task)
@@ -311,7 +311,7 @@
 // members say so.
 func (st *state) taskFailed(at time.Time, js *JobState, en *RunEnd, tk *Task, step spec.Step) {
 	if step.Gang {
-		tk = &js.Rounds[en.Task.Occurrence][en.Task.Step].Tasks[0]
+		tk = &js.Occurrences[en.Task.Occurrence][en.Task.Step].Tasks[0]
 	}
 	if tk.FailedRun >= en.Run {
 		return
@@ -331,7 +331,7 @@
 }
 
 func (st *state) taskDone(at time.Time, js *JobState, rf spec.TaskRef, tk *Task, step spec.Step) {
-	ss := &js.Rounds[rf.Occurrence][rf.Step]
+	ss := &js.Occurrences[rf.Occurrence][rf.Step]
 	if step.Gang {
 		// One end stands for all members; those still listed end by themselves.
 		for ix := range ss.Tasks {
@@ -343,7 +343,7 @@
 		tk.Checkpoint = ""
 		ss.Left--
 	}
-	for _, other := range js.Rounds[rf.Occurrence] {
+	for _, other := range js.Occurrences[rf.Occurrence] {
 		if other.Left > 0 {
 			return
 		}
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -155,7 +155,7 @@
 	fx.taken(end("a", 0, 0, 1, EndStopped))
 	fx.sr.Read(func(rd Reader) {
 		require.Empty(t, rd.Runs("w0"))
-		require.Nil(t, rd.Job("a").Rounds)
+		require.Nil(t, rd.Job("a").Occurrences)
 	})
 	fx.taken(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"), "again is no error")
@@ -317,7 +317,7 @@
 	placed := map[weir.InstanceID]int{}
 	for id, js := range st.Jobs {
 		count := 0
-		for oc, round := range js.Rounds {
+		for oc, round := range js.Occurrences {
 			for sp := range round {
 				left := 0
 				for ix := range round[sp].Tasks {
@@ -338,7 +338,7 @@
 			}
 		}
 		require.Equal(t, count, js.Placed)
-		require.Equal(t, js.Rounds != nil, st.Active[id])
+		require.Equal(t, js.Occurrences != nil, st.Active[id])
 	}
 	for id, runs := range st.Runs {
 		require.Len(t, runs, placed[id])
