--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -150,7 +150,7 @@
 	for id, wk := range tb.workers {
 		mem := tb.view.Members[id]
 		idle := wk.busy == 0 && wk.foreign == 0 && wk.reported == 0
-		if mem.Phase != view.Draining || !idle || wk.seen < mem.Since {
+		if mem.Phase != view.Draining || !idle || wk.seen < mem.SinceIndex {
 			continue
 		}
 		invariant.Check(!wk.serving, "drainedGetsNoWork", "instance", id)
--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -292,7 +292,7 @@
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	vw := testView(5, 1)
-	vw.Members["n0"] = view.Member{Instance: "n0", Pool: "desk", Phase: view.Draining, Since: 5}
+	vw.Members["n0"] = view.Member{Instance: "n0", Pool: "desk", Phase: view.Draining, SinceIndex: 5}
 	tb.SetView(vw)
 	_, err = tb.TryAcquire(request(clk))
 	require.Error(t, err, "a draining instance gets no work")
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -43,7 +43,7 @@
 	for id, inst := range cmd.Config.Delta.Instances {
 		mem, ok := st.Members[id]
 		if !ok {
-			mem = view.Member{Instance: id, Pool: inst.Pool, Phase: view.Serving, Since: ch.index, SinceAt: cmd.At}
+			mem = view.Member{Instance: id, Pool: inst.Pool, Phase: view.Serving, SinceIndex: ch.index, SinceAt: cmd.At}
 		}
 		mem.Zone = inst.Zone
 		mem.ConfiguredPool = inst.Pool
@@ -67,7 +67,7 @@
 // enter puts a member into a phase.
 func (st *state) enter(mem view.Member, phase view.Phase, cmd command.Command, ch *change) {
 	mem.Phase = phase
-	mem.Since = ch.index
+	mem.SinceIndex = ch.index
 	mem.SinceAt = cmd.At
 	if phase == view.Serving {
 		mem.Purpose, mem.TargetPool, mem.Wave, mem.Operation = "", "", "", ""
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -115,7 +115,7 @@
 		return refuse(command.RefusedWrongState, "instance %s is not draining", co.Instance)
 	}
 	sta := st.Statuses[co.Instance]
-	if co.View < mem.Since || co.Incarnation != sta.Incarnation || co.Epoch != sta.Epoch || co.Entry != sta.Entry {
+	if co.View < mem.SinceIndex || co.Incarnation != sta.Incarnation || co.Epoch != sta.Epoch || co.Entry != sta.Entry {
 		return refuse(command.RefusedStale, "consent for %s is of an earlier view or owner", co.Instance)
 	}
 	switch mem.Purpose {
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -165,7 +165,7 @@
 	be.ok(move("n0", "lab"))
 	_, serves := be.vw.Serves("n0")
 	require.False(t, serves, "no work while it drains")
-	since := be.vw.Members["n0"].Since
+	since := be.vw.Members["n0"].SinceIndex
 	be.refused(command.RefusedWrongState, move("n0", "lab"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 1, since-1, "e1"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 0, since, "e1"))
@@ -216,7 +216,7 @@
 	be.ok(permit("w2", "n1"))
 	be.refused(command.RefusedBudget, permit("w1", "n2"))
 	mem := be.vw.Members["n0"]
-	be.ok(be.consent("n0", 1, 1, mem.Since, "e1"))
+	be.ok(be.consent("n0", 1, 1, mem.SinceIndex, "e1"))
 	op := be.vw.Members["n0"].Operation
 	reboot := command.Command{Reboot: &command.RebootDone{Instance: "n0", Operation: op}}
 	be.ok(reboot)
@@ -239,7 +239,7 @@
 		if ans := be.do(permit("w", id)); ans.Refusal != nil {
 			break
 		}
-		be.ok(be.consent(id, 1, 1, be.vw.Members[id].Since, "e1"))
+		be.ok(be.consent(id, 1, 1, be.vw.Members[id].SinceIndex, "e1"))
 		be.ok(command.Command{Reboot: &command.RebootDone{Instance: id, Operation: be.vw.Members[id].Operation}})
 		if id == "n0" {
 			be.ok(command.Command{Stuck: &command.Stuck{Instance: id}})
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -66,10 +66,10 @@
 	Operation string `json:"operation,omitempty"`
 	// OldIncarnation is the one that was rebooted.
 	OldIncarnation uint64 `json:"oldIncarnation,omitempty"`
-	// Since is the index and SinceAt the time of the present phase.
-	Since   uint64    `json:"since"`
-	SinceAt time.Time `json:"sinceAt"`
-	Stuck   bool      `json:"stuck,omitempty"`
+	// SinceIndex is the index and SinceAt the time of the present phase.
+	SinceIndex uint64    `json:"since"`
+	SinceAt    time.Time `json:"sinceAt"`
+	Stuck      bool      `json:"stuck,omitempty"`
 }
 
 // Effect is what one index of the log changes in views.
