--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -62,9 +62,9 @@
 	Begun bool `json:"begun,omitempty"`
 	// Occurrences holds the steps of each occurrence; nil when it is over.
 	Occurrences [][]StepState `json:"rounds,omitempty"`
-	// RoundsLeft counts the occurrences that are not done.
-	RoundsLeft int       `json:"left"`
-	Ended      time.Time `json:"ended,omitzero"`
+	// OccurrencesLeft counts the occurrences that are not done.
+	OccurrencesLeft int       `json:"left"`
+	Ended           time.Time `json:"ended,omitzero"`
 	// Placed counts the runs that may be at workers.
 	Placed int `json:"placed,omitempty"`
 }
@@ -112,7 +112,7 @@
 
 // Unplaced reports whether a task of an occurrence may have to be placed.
 func (js *JobState) Unplaced() bool {
-	if js.RoundsLeft > 1 {
+	if js.OccurrencesLeft > 1 {
 		return true
 	}
 	left := 0
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -188,7 +188,7 @@
 	if st.Jobs[jb.ID] != nil {
 		return Result{Applied: true, Reason: "known"}
 	}
-	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, RoundsLeft: jb.Occurrences()}
+	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, OccurrencesLeft: jb.Occurrences()}
 	js.Occurrences = make([][]StepState, jb.Occurrences())
 	for oc := range js.Occurrences {
 		js.Occurrences[oc] = make([]StepState, len(jb.Steps))
@@ -348,8 +348,8 @@
 			return
 		}
 	}
-	js.RoundsLeft--
-	if js.RoundsLeft == 0 && !js.Phase.Over() {
+	js.OccurrencesLeft--
+	if js.OccurrencesLeft == 0 && !js.Phase.Over() {
 		st.end(at, js, Done)
 	}
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -269,7 +269,7 @@
 		fx.taken(end("a", 0, ix, 1, EndDone))
 	}
 	require.Equal(t, Running, fx.phase("a"))
-	fx.sr.Read(func(rd Reader) { require.Equal(t, 2, rd.Job("a").RoundsLeft) })
+	fx.sr.Read(func(rd Reader) { require.Equal(t, 2, rd.Job("a").OccurrencesLeft) })
 }
 
 // TestRandomChanges applies changes at random and checks after each that no
