--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -221,7 +221,7 @@
 
 // Execute implements flags.Commander.
 func (ch *configHistory) Execute([]string) error {
-	return get(&ch.remote, "/v1/config/history", func(list []fsm.Change) {
+	return get(&ch.remote, "/v1/config/history", func(list []fsm.ConfigChange) {
 		rows := make([][]string, 0, len(list))
 		for _, chg := range list {
 			rows = append(rows, []string{
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -138,7 +138,7 @@
 }
 
 func (ap *API) history(context.Context, echo.Context) (any, error) {
-	var list []fsm.Change
+	var list []fsm.ConfigChange
 	ap.Service.Machine.Read(func(rd fsm.Reader) { list = rd.History() })
 	return list, nil
 }
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -24,7 +24,7 @@
 	}
 	st.Config = cfg
 	st.Number++
-	st.History = append(st.History, Change{
+	st.History = append(st.History, ConfigChange{
 		Number: st.Number, Index: ch.index, Checksum: ca.Checksum, Operator: cmd.Operator,
 		RequestID: cmd.RequestID, At: cmd.At, Note: ca.Note,
 	})
--- a/internal/fleet/fsm/reader.go
+++ b/internal/fleet/fsm/reader.go
@@ -36,7 +36,7 @@
 func (rd Reader) Config() model.Config { return rd.st.Config }
 
 // History returns the last changes of the configuration, oldest first.
-func (rd Reader) History() []Change { return append([]Change{}, rd.st.History...) }
+func (rd Reader) History() []ConfigChange { return append([]ConfigChange{}, rd.st.History...) }
 
 // Members returns all members.
 func (rd Reader) Members() map[weir.InstanceID]view.Member { return rd.st.Members }
--- a/internal/fleet/fsm/state.go
+++ b/internal/fleet/fsm/state.go
@@ -34,8 +34,8 @@
 	EndedAt     time.Time                `json:"endedAt"`
 }
 
-// Change is one line of the configuration's history.
-type Change struct {
+// ConfigChange is one line of the configuration's history.
+type ConfigChange struct {
 	Number    uint64    `json:"number"`
 	Index     uint64    `json:"index"`
 	Checksum  string    `json:"checksum"`
@@ -86,7 +86,7 @@
 	EffectIndex uint64                             `json:"effectIndex"`
 	Number      uint64                             `json:"number"`
 	Config      model.Config                       `json:"config"`
-	History     []Change                           `json:"history"`
+	History     []ConfigChange                     `json:"history"`
 	Members     map[weir.InstanceID]view.Member    `json:"members"`
 	Statuses    map[weir.InstanceID]command.Status `json:"statuses"`
 	Waves       map[string]*Wave                   `json:"waves"`
