--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -58,8 +58,8 @@
 	Spec     spec.Job  `json:"spec"`
 	Accepted time.Time `json:"at"`
 	Phase    Phase     `json:"phase"`
-	// Begun says that a run of some task was ordered.
-	Begun bool `json:"begun,omitempty"`
+	// Started says that a run of some task was ordered.
+	Started bool `json:"begun,omitempty"`
 	// Occurrences holds the steps of each occurrence; nil when it is over.
 	Occurrences [][]StepState `json:"rounds,omitempty"`
 	// OccurrencesLeft counts the occurrences that are not done.
@@ -230,7 +230,7 @@
 }
 
 func (st *state) addToQueue(js *JobState) {
-	if js.Begun || js.Phase.Over() {
+	if js.Started || js.Phase.Over() {
 		return
 	}
 	jobs := st.ByQueue[js.Spec.Queue]
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -267,9 +267,9 @@
 	tk.Run, tk.Worker, tk.Incarnation, tk.StartedAt = sa.Run, sa.Worker, sa.Incarnation, at
 	js.Placed++
 	st.addRun(js, sa.Task, tk)
-	if !js.Begun {
+	if !js.Started {
 		st.leaveQueue(js)
-		js.Begun = true
+		js.Started = true
 		js.Phase = Running
 	}
 	return taken
