--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -274,7 +274,7 @@
 	be.ok(report(1, 4, 3)) // a late report of the earlier incarnation
 	be.ok(report(2, 1, 1))
 	be.mc.Read(func(rd Reader) {
-		require.Equal(t, []UsageLine{{Service: "desk", Totals: Totals{Done: 18, BusyMillis: 180}}}, rd.Usage())
+		require.Equal(t, []UsageLine{{Service: "desk", UsageTotals: UsageTotals{Done: 18, BusyMillis: 180}}}, rd.Usage())
 	})
 }
 
--- a/internal/fleet/fsm/report.go
+++ b/internal/fleet/fsm/report.go
@@ -73,7 +73,7 @@
 		key := usageKey{total.Service, total.Team}
 		sum, ok := st.usage[key]
 		if !ok {
-			sum = &Totals{}
+			sum = &UsageTotals{}
 			st.usage[key] = sum
 		}
 		sum.Done += total.Done
@@ -85,7 +85,7 @@
 func (st *state) usageLines() []UsageLine {
 	lines := make([]UsageLine, 0, len(st.usage))
 	for key, sum := range st.usage {
-		lines = append(lines, UsageLine{Service: key.service, Team: key.team, Totals: *sum})
+		lines = append(lines, UsageLine{Service: key.service, Team: key.team, UsageTotals: *sum})
 	}
 	sort.Slice(lines, func(a, b int) bool {
 		if lines[a].Service != lines[b].Service {
--- a/internal/fleet/fsm/state.go
+++ b/internal/fleet/fsm/state.go
@@ -45,8 +45,8 @@
 	Note      string    `json:"note,omitempty"`
 }
 
-// Totals is settled usage.
-type Totals struct {
+// UsageTotals is settled usage.
+type UsageTotals struct {
 	Done       uint64 `json:"done"`
 	Failed     uint64 `json:"failed"`
 	BusyMillis uint64 `json:"busyMillis"`
@@ -62,7 +62,7 @@
 type UsageLine struct {
 	Service weir.ServiceName `json:"service"`
 	Team    weir.TeamName    `json:"team,omitempty"`
-	Totals
+	UsageTotals
 }
 
 // mark is the last settled report of an instance. The incarnation before the
@@ -96,7 +96,7 @@
 	Moves       uint64                             `json:"moves"`
 	Processes   map[string]weir.Zone               `json:"processes"`
 
-	usage    map[usageKey]*Totals
+	usage    map[usageKey]*UsageTotals
 	requests map[string]command.Result
 	// available counts the members of each pool that serve and are up, sizes
 	// all its members.
@@ -116,9 +116,9 @@
 
 // index builds what is derived from the stored fields.
 func (st *state) index() {
-	st.usage = make(map[usageKey]*Totals, len(st.Usage))
+	st.usage = make(map[usageKey]*UsageTotals, len(st.Usage))
 	for _, line := range st.Usage {
-		totals := line.Totals
+		totals := line.UsageTotals
 		st.usage[usageKey{line.Service, line.Team}] = &totals
 	}
 	st.requests = make(map[string]command.Result, len(st.Requests))
--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -47,8 +47,8 @@
 	// Reasons counts why requests got no whole answer in the end.
 	Reasons map[string]int
 
-	Ran       fsm.Totals
-	Reported  fsm.Totals
+	Ran       fsm.UsageTotals
+	Reported  fsm.UsageTotals
 	HaveUsage bool
 }
 
