--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -53,7 +53,7 @@
 }
 
 func (ow *Scheduler) paceWorker(re *reign, rd store.Reader, id weir.InstanceID, at *attended) {
-	if rd.Load(id).Filling == 0 {
+	if rd.Load(id).BestEffort == 0 {
 		delete(re.pace, id)
 		return
 	}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -271,7 +271,7 @@
 		}
 		pw := plan.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
-		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.Filling
+		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
 	}
 	return workers
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -160,9 +160,9 @@
 type WorkerLoad struct {
 	// Used is the room that they take.
 	Used spec.Resources
-	// Serving counts the lasting tasks that serve users, Filling those that use
+	// Serving counts the lasting tasks that serve users, BestEffort those that use
 	// what others leave.
-	Serving, Filling int
+	Serving, BestEffort int
 	// Lasting and Ending count all that last and all that end by themselves.
 	Lasting, Ending int
 }
@@ -173,7 +173,7 @@
 	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
 	case step.BestEffort:
-		wl.Filling += count
+		wl.BestEffort += count
 	case step.LongRunning:
 		wl.Serving += count
 	}
