--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -163,8 +163,8 @@
 	// Serving counts the lasting tasks that serve users, BestEffort those that use
 	// what others leave.
 	Serving, BestEffort int
-	// Lasting and Ending count all that last and all that end by themselves.
-	Lasting, Ending int
+	// LongRunning and Ending count all that last and all that end by themselves.
+	LongRunning, Ending int
 }
 
 // with returns the load with count more runs of a step.
@@ -178,7 +178,7 @@
 		wl.Serving += count
 	}
 	if step.LongRunning {
-		wl.Lasting += count
+		wl.LongRunning += count
 	} else {
 		wl.Ending += count
 	}
