--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -223,7 +223,7 @@
 func (ow *Scheduler) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
 	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: re.machines.cordoned(machine)}
 	load := rd.Load(wk.ID)
-	ca.work, ca.lasting = load.Ending, load.LongRunning
+	ca.work, ca.lasting = load.Batch, load.LongRunning
 	return ca
 }
 
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -163,8 +163,8 @@
 	// Serving counts the lasting tasks that serve users, BestEffort those that use
 	// what others leave.
 	Serving, BestEffort int
-	// LongRunning and Ending count all that last and all that end by themselves.
-	LongRunning, Ending int
+	// LongRunning and Batch count all that last and all that end by themselves.
+	LongRunning, Batch int
 }
 
 // with returns the load with count more runs of a step.
@@ -180,7 +180,7 @@
 	if step.LongRunning {
 		wl.LongRunning += count
 	} else {
-		wl.Ending += count
+		wl.Batch += count
 	}
 	return wl
 }
