--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -19,8 +19,8 @@
 	weir "greengageweir"
 )
 
-// UnheardAfter is how long an entry instance may be silent.
-const UnheardAfter = 3 * time.Second
+// ReportTimeout is how long an entry instance may be silent.
+const ReportTimeout = 3 * time.Second
 
 type entry struct {
 	report  peerapi.Report
@@ -52,7 +52,7 @@
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	en, ok := rg.entries[rep.Entry]
-	if !ok || !en.report.Started.Equal(rep.Started) || now.Sub(en.heardAt) > UnheardAfter {
+	if !ok || !en.report.Started.Equal(rep.Started) || now.Sub(en.heardAt) > ReportTimeout {
 		en = &entry{}
 		rg.entries[rep.Entry] = en
 	}
@@ -67,11 +67,11 @@
 func (rg *Registry) IsHeard(now time.Time, id string) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	if now.Sub(rg.since) < UnheardAfter {
+	if now.Sub(rg.since) < ReportTimeout {
 		return true
 	}
 	en, ok := rg.entries[id]
-	return ok && now.Sub(en.heardAt) <= UnheardAfter
+	return ok && now.Sub(en.heardAt) <= ReportTimeout
 }
 
 // Processes returns the state of all known entry instances. While a leader is
@@ -81,10 +81,10 @@
 	defer rg.mu.Unlock()
 	list := make([]peerapi.EntryProcess, 0, len(known))
 	for id, zone := range known {
-		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.since) < UnheardAfter}
+		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.since) < ReportTimeout}
 		if en, ok := rg.entries[id]; ok {
 			pr.View, pr.Number, pr.LastReportAt = en.report.View, en.report.Number, en.heardAt
-			pr.Reporting = now.Sub(en.heardAt) <= UnheardAfter
+			pr.Reporting = now.Sub(en.heardAt) <= ReportTimeout
 		}
 		list = append(list, pr)
 	}
@@ -98,7 +98,7 @@
 	defer rg.mu.Unlock()
 	sums := map[weir.ServiceName]peerapi.Demand{}
 	for _, en := range rg.entries {
-		if now.Sub(en.heardAt) > UnheardAfter {
+		if now.Sub(en.heardAt) > ReportTimeout {
 			continue
 		}
 		for _, dm := range en.report.Demand {
