--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -104,7 +104,7 @@
 	Label          string `json:"label,omitempty"`
 	DataRack       string `json:"dataRack,omitempty"`
 	MaxPerWorker   int    `json:"maxPerWorker,omitempty"`
-	Lasting        bool   `json:"lasting,omitempty"`
+	LongRunning    bool   `json:"lasting,omitempty"`
 	Image          string `json:"image,omitempty"`
 	TargetMillis   int64  `json:"targetMillis,omitempty"`
 	Filling        bool   `json:"filling,omitempty"`
@@ -126,7 +126,7 @@
 		out.Steps = append(out.Steps, spec.Step{
 			Count: st.Count, Resources: spec.Resources{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
 			Estimate: millis(st.EstimateMillis), After: st.After, Checkpointing: st.Checkpointing, Gang: st.Gang,
-			OneRack: st.OneRack, Label: st.Label, DataRack: st.DataRack, MaxPerWorker: st.MaxPerWorker, LongRunning: st.Lasting,
+			OneRack: st.OneRack, Label: st.Label, DataRack: st.DataRack, MaxPerWorker: st.MaxPerWorker, LongRunning: st.LongRunning,
 			Image: st.Image, TargetLatency: millis(st.TargetMillis), BestEffort: st.Filling, MaxUnavailable: st.MaxAway,
 		})
 	}
