--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -108,7 +108,7 @@
 	Image          string `json:"image,omitempty"`
 	TargetMillis   int64  `json:"targetMillis,omitempty"`
 	BestEffort     bool   `json:"filling,omitempty"`
-	MaxAway        int    `json:"maxAway,omitempty"`
+	MaxUnavailable int    `json:"maxAway,omitempty"`
 }
 
 // Job is a job as callers write it.
@@ -127,7 +127,7 @@
 			Count: st.Count, Resources: spec.Resources{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
 			Estimate: millis(st.EstimateMillis), After: st.After, Checkpointing: st.Checkpointing, Gang: st.Gang,
 			OneRack: st.OneRack, Label: st.Label, DataRack: st.DataRack, MaxPerWorker: st.MaxPerWorker, LongRunning: st.LongRunning,
-			Image: st.Image, TargetLatency: millis(st.TargetMillis), BestEffort: st.BestEffort, MaxUnavailable: st.MaxAway,
+			Image: st.Image, TargetLatency: millis(st.TargetMillis), BestEffort: st.BestEffort, MaxUnavailable: st.MaxUnavailable,
 		})
 	}
 	return out
