--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	defer cancel()
-	var now operator.ConfigAnswer
+	var now operator.ConfigResponse
 	if err := retryUnreachable(ctx, func() error { return cl.Get(ctx, "/v1/config", &now) }); err != nil {
 		return err
 	}
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -27,8 +27,8 @@
 	Config    model.Config `json:"config"`
 }
 
-// ConfigAnswer is the configuration in force.
-type ConfigAnswer struct {
+// ConfigResponse is the configuration in force.
+type ConfigResponse struct {
 	Number   uint64       `json:"number"`
 	Checksum string       `json:"checksum"`
 	Config   model.Config `json:"config"`
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -129,9 +129,9 @@
 }
 
 func (ap *API) config(context.Context, echo.Context) (any, error) {
-	var ans operator.ConfigAnswer
+	var ans operator.ConfigResponse
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
-		ans = operator.ConfigAnswer{Number: rd.Number(), Config: rd.Config()}
+		ans = operator.ConfigResponse{Number: rd.Number(), Config: rd.Config()}
 	})
 	ans.Checksum = ans.Config.Checksum()
 	return ans, nil
