--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -113,15 +113,15 @@
 
 // Job is a job as callers write it.
 type Job struct {
-	Text        string    `json:"text,omitempty"`
-	Steps       []Step    `json:"steps"`
-	Times       int       `json:"times,omitempty"`
-	StartAt     time.Time `json:"startAt,omitzero"`
-	EveryMillis int64     `json:"everyMillis,omitempty"`
+	Text            string    `json:"text,omitempty"`
+	Steps           []Step    `json:"steps"`
+	OccurrenceCount int       `json:"times,omitempty"`
+	StartAt         time.Time `json:"startAt,omitzero"`
+	EveryMillis     int64     `json:"everyMillis,omitempty"`
 }
 
 func (jb Job) decode() *spec.Job {
-	out := &spec.Job{Text: jb.Text, OccurrenceCount: jb.Times, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
+	out := &spec.Job{Text: jb.Text, OccurrenceCount: jb.OccurrenceCount, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
 	for _, st := range jb.Steps {
 		out.Steps = append(out.Steps, spec.Step{
 			Count: st.Count, Resources: spec.Resources{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
