--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	return get(&cs.remote, "/v1/status", func(ans operator.StatusAnswer) {
+	return get(&cs.remote, "/v1/status", func(ans operator.StatusResponse) {
 		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.Number, ans.Leader, ans.Index, ans.Moves)
 		rows := make([][]string, 0, len(ans.Processes))
 		for _, pr := range ans.Processes {
@@ -194,7 +194,7 @@
 	defer stop()
 	begin := time.Now()
 	for {
-		var ans operator.StatusAnswer
+		var ans operator.StatusResponse
 		err := cl.Get(ctx, "/v1/status", &ans)
 		want := max(number, 1)
 		if number == 0 {
--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -106,7 +106,7 @@
 
 // Execute implements flags.Commander.
 func (pl *poolList) Execute([]string) error {
-	return get(&pl.remote, "/v1/status", func(ans operator.StatusAnswer) {
+	return get(&pl.remote, "/v1/status", func(ans operator.StatusResponse) {
 		rows := make([][]string, 0, len(ans.Pools))
 		for _, pol := range ans.Pools {
 			rows = append(rows, []string{
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -64,8 +64,8 @@
 	RequestID string `json:"requestId"`
 }
 
-// StatusAnswer is the state of the fleet.
-type StatusAnswer struct {
+// StatusResponse is the state of the fleet.
+type StatusResponse struct {
 	Leader    string                 `json:"leader"`
 	Index     uint64                 `json:"index"`
 	Number    uint64                 `json:"number"`
@@ -77,7 +77,7 @@
 
 // InForce reports whether a configuration is in force at each process that is
 // heard, and names those that are not heard.
-func (sa StatusAnswer) InForce(number uint64) (inForce bool, unheard []string) {
+func (sa StatusResponse) InForce(number uint64) (inForce bool, unheard []string) {
 	inForce = sa.Number >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
 		if !pr.Reporting {
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -145,7 +145,7 @@
 
 func (ap *API) status(ctx context.Context, ech echo.Context) (any, error) {
 	st := ap.Service.Node.Status()
-	ans := operator.StatusAnswer{Leader: st.Leader}
+	ans := operator.StatusResponse{Leader: st.Leader}
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans.Index, ans.Number, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.Moves()
 	})
