--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -145,7 +145,7 @@
 	Number         int64    `json:"number"`
 	Machines       []string `json:"machines"`
 	DeadlineMillis int64    `json:"deadlineMillis"`
-	AtOnce         int      `json:"atOnce"`
+	MaxParallel    int      `json:"atOnce"`
 }
 
 // Answer is the body of every answer.
@@ -267,6 +267,6 @@
 		return unreadable(ctx, err)
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: &store.Wave{
-		Number: wv.Number, Machines: wv.Machines, MaxParallel: wv.AtOnce, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
+		Number: wv.Number, Machines: wv.Machines, MaxParallel: wv.MaxParallel, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
 	}})
 }
