--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -187,7 +187,7 @@
 
 // Execute implements flags.Commander.
 func (uc *usageCommand) Execute([]string) error {
-	return get(&uc.remote, "/v1/usage", func(ans operator.UsageAnswer) {
+	return get(&uc.remote, "/v1/usage", func(ans operator.UsageResponse) {
 		rows := make([][]string, 0, len(ans.Lines))
 		for _, line := range ans.Lines {
 			rows = append(rows, usageRow(line))
--- a/cmd/weirstandin/verify.go
+++ b/cmd/weirstandin/verify.go
@@ -31,7 +31,7 @@
 	}
 	var usage []fsm.UsageLine
 	if vc.Usage != "" {
-		var ans operator.UsageAnswer
+		var ans operator.UsageResponse
 		if err := readJSON(vc.Usage, &ans); err != nil {
 			return err
 		}
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -112,8 +112,8 @@
 	Entry string `json:"entry,omitempty"`
 }
 
-// UsageAnswer is the settled usage and whether reports are still under way.
-type UsageAnswer struct {
+// UsageResponse is the settled usage and whether reports are still under way.
+type UsageResponse struct {
 	Index uint64          `json:"index"`
 	Lines []fsm.UsageLine `json:"lines"`
 }
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -262,9 +262,9 @@
 }
 
 func (ap *API) usage(context.Context, echo.Context) (any, error) {
-	var ans operator.UsageAnswer
+	var ans operator.UsageResponse
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
-		ans = operator.UsageAnswer{Index: rd.Index(), Lines: rd.Usage()}
+		ans = operator.UsageResponse{Index: rd.Index(), Lines: rd.Usage()}
 	})
 	return ans, nil
 }
