--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -109,7 +109,7 @@
 		}
 		ho.node.Deliver(msg)
 		return nil, nil
-	case jobapi.Directory:
+	case jobapi.DirectoryMethod:
 		var in jobapi.Introduction
 		if err := call.Decode(&in); err != nil {
 			return nil, err
--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -22,9 +22,9 @@
 // Method is the name of the call between processes.
 const Method = "job.call"
 
-// Directory asks a holder of the log for all of them, and introduces the
+// DirectoryMethod asks a holder of the log for all of them, and introduces the
 // asking process, see Introduction.
-const Directory = "member.directory"
+const DirectoryMethod = "member.directory"
 
 // Kind tells calls apart.
 type Kind string
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -176,7 +176,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var list jobapi.Listing
-	if err := ro.Links.Call(callCtx, id, jobapi.Directory, jobapi.Introduction{Holder: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
+	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.Introduction{Holder: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
 		return
 	}
