--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -74,7 +74,7 @@
 	str.Clock = steady
 	ho.node = &node.Node{
 		ID: self.ID, Dir: ho.DataDir, StateMachine: str, Send: lks.Send, Clock: steady, Logger: lg,
-		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, Lazy: true,
+		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, LazyPropagation: true,
 	}
 	ho.roster = &roster.Roster{
 		Self: self.ID, HoldsLog: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
