--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -171,7 +171,7 @@
 		}
 	}
 	return get(&cs.remote, "/v1/status", func(ans operator.StatusResponse) {
-		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.Number, ans.Leader, ans.Index, ans.Moves)
+		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.ConfigNumber, ans.Leader, ans.Index, ans.Moves)
 		rows := make([][]string, 0, len(ans.Processes))
 		for _, pr := range ans.Processes {
 			rows = append(rows, []string{pr.ID, string(pr.Zone), strconv.FormatUint(pr.Number, 10), strconv.FormatBool(pr.Reporting)})
@@ -198,7 +198,7 @@
 		err := cl.Get(ctx, "/v1/status", &ans)
 		want := max(number, 1)
 		if number == 0 {
-			want = ans.Number
+			want = ans.ConfigNumber
 		}
 		inForce, unheard := ans.InForce(want)
 		if err == nil && inForce {
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -66,19 +66,19 @@
 
 // StatusResponse is the state of the fleet.
 type StatusResponse struct {
-	Leader    string                 `json:"leader"`
-	Index     uint64                 `json:"index"`
-	Number    uint64                 `json:"number"`
-	Processes []peerapi.EntryProcess `json:"processes"`
-	Pools     []fsm.PoolStatus       `json:"pools"`
-	Moves     uint64                 `json:"moves"`
-	Demand    []peerapi.Demand       `json:"demand"`
+	Leader       string                 `json:"leader"`
+	Index        uint64                 `json:"index"`
+	ConfigNumber uint64                 `json:"number"`
+	Processes    []peerapi.EntryProcess `json:"processes"`
+	Pools        []fsm.PoolStatus       `json:"pools"`
+	Moves        uint64                 `json:"moves"`
+	Demand       []peerapi.Demand       `json:"demand"`
 }
 
 // InForce reports whether a configuration is in force at each process that is
 // heard, and names those that are not heard.
 func (sa StatusResponse) InForce(number uint64) (inForce bool, unheard []string) {
-	inForce = sa.Number >= number && len(sa.Processes) > 0
+	inForce = sa.ConfigNumber >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
 		if !pr.Reporting {
 			unheard = append(unheard, pr.ID)
