--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -115,7 +115,7 @@
 			return nil, err
 		}
 		return ho.roster.Answer(in), nil
-	case jobapi.Method:
+	case jobapi.CallMethod:
 		var in jobapi.Call
 		if err := call.Decode(&in); err != nil {
 			return nil, err
--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -19,8 +19,8 @@
 	weir "greengageweir"
 )
 
-// Method is the name of the call between processes.
-const Method = "job.call"
+// CallMethod is the name of the call between processes.
+const CallMethod = "job.call"
 
 // DirectoryMethod asks a holder of the log for all of them, and introduces the
 // asking process, see Introduction.
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -114,7 +114,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	var rep jobapi.Reply
-	err := rl.Links.Call(callCtx, id, jobapi.Method, call, &rep)
+	err := rl.Links.Call(callCtx, id, jobapi.CallMethod, call, &rep)
 	return rep, err
 }
 
--- a/internal/entry/relay/relay_test.go
+++ b/internal/entry/relay/relay_test.go
@@ -27,7 +27,7 @@
 func newHolder(t *testing.T, answer func(ctx context.Context) (jobapi.Reply, error)) *holder {
 	ho := &holder{}
 	sv := &peer.Server{Addr: "127.0.0.1:0", Token: testToken, Handle: func(ctx context.Context, call peer.Call) (any, error) {
-		if call.Method != jobapi.Method {
+		if call.Method != jobapi.CallMethod {
 			return nil, peer.MethodNotFound(call.Method)
 		}
 		ho.calls.Add(1)
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -155,7 +155,7 @@
 func (sv *Handler) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
 	call.Hops++
 	var rep jobapi.Reply
-	err := sv.Links.Call(ctx, leader, jobapi.Method, call, &rep)
+	err := sv.Links.Call(ctx, leader, jobapi.CallMethod, call, &rep)
 	switch {
 	case err == nil && rep.Outcome == jobapi.Unavailable:
 		return rep, false
