--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -198,7 +198,7 @@
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(nd.ID + st.Hard.Disk))
 	nd.core = &replica.Core{
-		ID: nd.ID, Members: nd.Members, Election: nd.Election, Heartbeat: nd.Heartbeat, Lazy: nd.LazyPropagation,
+		ID: nd.ID, Members: nd.Members, Election: nd.Election, Heartbeat: nd.Heartbeat, LazyPropagation: nd.LazyPropagation,
 		Rand: rand.New(rand.NewSource(int64(seed.Sum64()))), //nolint:gosec // election jitter is no secret
 	}
 	nd.core.Restore(nd.Clock.Now(), st.Hard, st.Snapshot, st.Entries)
--- a/internal/state/replica/append.go
+++ b/internal/state/replica/append.go
@@ -15,7 +15,7 @@
 func (co *Core) broadcastNew() {
 	for _, id := range co.followers() {
 		pr := co.progress[id]
-		if co.Lazy && !co.isMember(id) {
+		if co.LazyPropagation && !co.isMember(id) {
 			continue
 		}
 		if pr.next <= co.log.last() && pr.next > co.log.snapIndex && pr.match+1 >= pr.next-min(pr.next-1, maxBatchEntries) {
@@ -202,7 +202,7 @@
 		return
 	}
 	co.commit = index
-	if co.Lazy {
+	if co.LazyPropagation {
 		return
 	}
 	// Followers learn of the commit at once, not with the next heartbeat.
--- a/internal/state/replica/cluster_test.go
+++ b/internal/state/replica/cluster_test.go
@@ -78,7 +78,7 @@
 	}
 	pe.core = &Core{
 		ID: id, Members: members, Election: testElection, Heartbeat: testHeartbeat,
-		Rand: rand.New(rand.NewSource(cl.rng.Int63())), Lazy: cl.lazy,
+		Rand: rand.New(rand.NewSource(cl.rng.Int63())), LazyPropagation: cl.lazy,
 	}
 	entries := append([]Entry{}, pe.disk.entries...)
 	pe.core.Restore(cl.now, pe.disk.hard, pe.disk.snap, entries)
--- a/internal/state/replica/core.go
+++ b/internal/state/replica/core.go
@@ -31,10 +31,10 @@
 	Election  time.Duration
 	Heartbeat time.Duration
 	Rand      *rand.Rand
-	// Lazy leaves followers to learn of commits with the next entries or
+	// LazyPropagation leaves followers to learn of commits with the next entries or
 	// heartbeat, and sends the log to spares with heartbeats only. It suits a
 	// state that only the leader answers from.
-	Lazy bool
+	LazyPropagation bool
 
 	hard      HardState
 	hardDirty bool
