--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return errors.Errorf("--expected: want a number, got %q", ca.Expected)
 	}
-	req := operator.ApplyRequest{RequestID: ca.id(), Expected: expected, Note: ca.Note, Config: cfg}
+	req := operator.ApplyConfigRequest{RequestID: ca.id(), Expected: expected, Note: ca.Note, Config: cfg}
 	if err := ca.command("/v1/config", req); err != nil {
 		return err
 	}
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -19,8 +19,8 @@
 	weir "greengageweir"
 )
 
-// ApplyRequest asks for a configuration to follow number Expected.
-type ApplyRequest struct {
+// ApplyConfigRequest asks for a configuration to follow number Expected.
+type ApplyConfigRequest struct {
 	RequestID string       `json:"requestId"`
 	Expected  uint64       `json:"expected"`
 	Note      string       `json:"note,omitempty"`
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -112,7 +112,7 @@
 // apply turns a whole configuration into the difference from the one that the
 // operator expects. The state machine checks the number again.
 func (ap *API) apply(ech echo.Context) error {
-	var req operator.ApplyRequest
+	var req operator.ApplyConfigRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
