--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -110,7 +110,7 @@
 		ho.node.Deliver(msg)
 		return nil, nil
 	case jobapi.DirectoryMethod:
-		var in jobapi.Introduction
+		var in jobapi.DirectoryRequest
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -150,8 +150,8 @@
 	Handle(ctx context.Context, call Call) Reply
 }
 
-// Introduction is what a process says of itself in Directory.
-type Introduction struct {
+// DirectoryRequest is what a process says of itself in Directory.
+type DirectoryRequest struct {
 	// Holder is set for processes that hold the log.
 	Holder bool   `json:"holder,omitempty"`
 	ID     string `json:"id"`
