--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -28,7 +28,7 @@
 
 // Execute implements flags.Commander.
 func (ws *waveStart) Execute([]string) error {
-	req := operator.WaveRequest{RequestID: ws.id(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
+	req := operator.CreateWaveRequest{RequestID: ws.id(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
 	for _, pool := range ws.Pools {
 		req.Wave.Pools = append(req.Wave.Pools, weir.PoolName(pool))
 	}
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -34,8 +34,8 @@
 	Config   model.Config `json:"config"`
 }
 
-// WaveRequest creates a wave.
-type WaveRequest struct {
+// CreateWaveRequest creates a wave.
+type CreateWaveRequest struct {
 	RequestID string             `json:"requestId"`
 	Wave      command.WaveCreate `json:"wave"`
 }
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -212,7 +212,7 @@
 }
 
 func (ap *API) createWave(ech echo.Context) error {
-	var req operator.WaveRequest
+	var req operator.CreateWaveRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
