--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -157,8 +157,8 @@
 	ID     string `json:"id"`
 }
 
-// Listing is the answer to Directory.
-type Listing struct {
+// DirectoryReply is the answer to Directory.
+type DirectoryReply struct {
 	Holders []string `json:"holders"`
 	Leader  string   `json:"leader,omitempty"`
 }
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -122,12 +122,12 @@
 }
 
 // Answer answers another process's question and learns of it.
-func (ro *Roster) Answer(in jobapi.DirectoryRequest) jobapi.Listing {
+func (ro *Roster) Answer(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
 	if in.Holder {
 		ro.learn(in.ID)
 	}
-	list := jobapi.Listing{Holders: slices.Sorted(maps.Keys(ro.holders))}
+	list := jobapi.DirectoryReply{Holders: slices.Sorted(maps.Keys(ro.holders))}
 	ro.mu.Unlock()
 	list.Leader = ro.Leader()
 	return list
@@ -175,7 +175,7 @@
 func (ro *Roster) ask(ctx context.Context, id string) {
 	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	var list jobapi.Listing
+	var list jobapi.DirectoryReply
 	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Holder: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
 		return
