--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -180,7 +180,7 @@
 
 // Execute implements flags.Commander.
 func (pf *processForget) Execute([]string) error {
-	return pf.command("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetRequest{RequestID: pf.id()})
+	return pf.command("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetProcessRequest{RequestID: pf.id()})
 }
 
 type usageCommand struct{ remote }
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -59,8 +59,8 @@
 	Reason    string `json:"reason"`
 }
 
-// ForgetRequest removes a process that is gone for good from the roll-out.
-type ForgetRequest struct {
+// ForgetProcessRequest removes a process that is gone for good from the roll-out.
+type ForgetProcessRequest struct {
 	RequestID string `json:"requestId"`
 }
 
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -252,7 +252,7 @@
 }
 
 func (ap *API) forget(ech echo.Context) error {
-	var req operator.ForgetRequest
+	var req operator.ForgetProcessRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
