--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -64,9 +64,9 @@
 	Entry string    `json:"entry"`
 	Zone  weir.Zone `json:"zone"`
 	// Started tells two processes under one name apart.
-	Started time.Time `json:"started"`
-	View    uint64    `json:"view"`
-	Number  uint64    `json:"number"`
+	Started      time.Time `json:"started"`
+	View         uint64    `json:"view"`
+	ConfigNumber uint64    `json:"number"`
 	// Full is set when Statuses holds all instances that the entry owns.
 	Full     bool                        `json:"full,omitempty"`
 	Statuses []command.Status            `json:"statuses,omitempty"`
