--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -152,9 +152,9 @@
 
 // DirectoryRequest is what a process says of itself in Directory.
 type DirectoryRequest struct {
-	// Holder is set for processes that hold the log.
-	Holder bool   `json:"holder,omitempty"`
-	ID     string `json:"id"`
+	// Replica is set for processes that hold the log.
+	Replica bool   `json:"holder,omitempty"`
+	ID      string `json:"id"`
 }
 
 // DirectoryReply is the answer to Directory.
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -124,7 +124,7 @@
 // Answer answers another process's question and learns of it.
 func (ro *Roster) Answer(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
-	if in.Holder {
+	if in.Replica {
 		ro.learn(in.ID)
 	}
 	list := jobapi.DirectoryReply{Holders: slices.Sorted(maps.Keys(ro.holders))}
@@ -176,7 +176,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var list jobapi.DirectoryReply
-	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Holder: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
+	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
 		return
 	}
