--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -64,7 +64,7 @@
 	}
 	defer cancel()
 	return retryUnreachable(ctx, func() error {
-		ans, err := cl.Command(ctx, path, body)
+		ans, err := cl.SendCommand(ctx, path, body)
 		if err != nil {
 			return err
 		}
--- a/internal/contract/operator/client.go
+++ b/internal/contract/operator/client.go
@@ -39,8 +39,8 @@
 	HTTP  http.Client
 }
 
-// Command sends a request that the state machine answers.
-func (cl *Client) Command(ctx context.Context, path string, body any) (command.Result, error) {
+// SendCommand sends a request that the state machine answers.
+func (cl *Client) SendCommand(ctx context.Context, path string, body any) (command.Result, error) {
 	var ans command.Result
 	err := cl.do(ctx, http.MethodPost, path, body, &ans)
 	return ans, err
