--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -174,7 +174,7 @@
 		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.ConfigNumber, ans.Leader, ans.Index, ans.Moves)
 		rows := make([][]string, 0, len(ans.Processes))
 		for _, pr := range ans.Processes {
-			rows = append(rows, []string{pr.ID, string(pr.Zone), strconv.FormatUint(pr.Number, 10), strconv.FormatBool(pr.Reporting)})
+			rows = append(rows, []string{pr.ID, string(pr.Zone), strconv.FormatUint(pr.ConfigNumber, 10), strconv.FormatBool(pr.Reporting)})
 		}
 		table("PROCESS ZONE NUMBER HEARD", rows)
 	})
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -84,7 +84,7 @@
 			unheard = append(unheard, pr.ID)
 			continue
 		}
-		if pr.Number < number {
+		if pr.ConfigNumber < number {
 			inForce = false
 		}
 	}
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -93,10 +93,10 @@
 
 // EntryProcess is an entry instance as the leader knows it.
 type EntryProcess struct {
-	ID     string    `json:"id"`
-	Zone   weir.Zone `json:"zone"`
-	View   uint64    `json:"view"`
-	Number uint64    `json:"number"`
+	ID           string    `json:"id"`
+	Zone         weir.Zone `json:"zone"`
+	View         uint64    `json:"view"`
+	ConfigNumber uint64    `json:"number"`
 	// Reporting is false for a process that has not reported lately.
 	Reporting    bool      `json:"heard"`
 	LastReportAt time.Time `json:"heardAt"`
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -83,7 +83,7 @@
 	for id, zone := range known {
 		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.since) < ReportTimeout}
 		if en, ok := rg.entries[id]; ok {
-			pr.View, pr.Number, pr.LastReportAt = en.report.View, en.report.ConfigNumber, en.heardAt
+			pr.View, pr.ConfigNumber, pr.LastReportAt = en.report.View, en.report.ConfigNumber, en.heardAt
 			pr.Reporting = now.Sub(en.heardAt) <= ReportTimeout
 		}
 		list = append(list, pr)
