--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -159,8 +159,8 @@
 
 // DirectoryReply is the answer to Directory.
 type DirectoryReply struct {
-	Holders []string `json:"holders"`
-	Leader  string   `json:"leader,omitempty"`
+	Replicas []string `json:"holders"`
+	Leader   string   `json:"leader,omitempty"`
 }
 
 // QueueOf splits a path into the queue's and the job's part.
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -127,7 +127,7 @@
 	if in.Replica {
 		ro.learn(in.ID)
 	}
-	list := jobapi.DirectoryReply{Holders: slices.Sorted(maps.Keys(ro.holders))}
+	list := jobapi.DirectoryReply{Replicas: slices.Sorted(maps.Keys(ro.holders))}
 	ro.mu.Unlock()
 	list.Leader = ro.Leader()
 	return list
@@ -182,7 +182,7 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for _, holder := range list.Holders {
+	for _, holder := range list.Replicas {
 		ro.learn(holder)
 	}
 	if list.Leader != "" {
