--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -84,8 +84,8 @@
 	Waiting int              `json:"waiting"`
 }
 
-// ReportAnswer is the leader's answer.
-type ReportAnswer struct {
+// ReportResponse is the leader's answer.
+type ReportResponse struct {
 	// WantFull asks for a full report.
 	WantFull bool               `json:"wantFull,omitempty"`
 	Acked    []command.UsageAck `json:"acked,omitempty"`
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -12,14 +12,14 @@
 )
 
 // Report takes an entry instance's report, here or at the leader.
-func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportAnswer, error) {
+func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportResponse, error) {
 	if !sv.Leads() {
-		var ans peerapi.ReportAnswer
+		var ans peerapi.ReportResponse
 		err := sv.atLeader(ctx, peerapi.EntryReport, rep, &ans)
 		return ans, err
 	}
 	now := sv.Clock.Now()
-	ans := peerapi.ReportAnswer{WantFull: sv.Registry.Heard(now, rep)}
+	ans := peerapi.ReportResponse{WantFull: sv.Registry.Heard(now, rep)}
 	if err := sv.register(ctx, rep, now); err != nil {
 		return ans, err
 	}
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -82,7 +82,7 @@
 func (rp *Reporter) send(ctx context.Context, rep peerapi.Report, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var ans peerapi.ReportAnswer
+	var ans peerapi.ReportResponse
 	if err := rp.Control.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
 		rp.Table.Resend(rep.Statuses)
 		rp.full = true
