--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -72,8 +72,8 @@
 	store.Worker
 	// Clock is the worker's steady clock.
 	Clock time.Duration `json:"clock"`
-	// DrainLeft is the least time that is left to a draining worker.
-	DrainLeft time.Duration `json:"drainLeft,omitempty"`
+	// DrainRemaining is the least time that is left to a draining worker.
+	DrainRemaining time.Duration `json:"drainLeft,omitempty"`
 }
 
 // Outcome is how a call ended.
