--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -127,8 +127,8 @@
 	ReserveRefused ReserveState = "refused"
 )
 
-// ReserveAnswer is a replica's answer.
-type ReserveAnswer struct {
+// ReserveResponse is a replica's answer.
+type ReserveResponse struct {
 	State   ReserveState `json:"state"`
 	Attempt string       `json:"attempt,omitempty"`
 	Answer  *weir.Answer `json:"answer,omitempty"`
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -39,7 +39,7 @@
 	}
 	switch par := params.(type) {
 	case peerapi.Reserve:
-		*result.(*peerapi.ReserveAnswer) = fm.stores[id].Reserve(clock.System{}.Now(), par)
+		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Join:
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -83,7 +83,7 @@
 
 type vote struct {
 	replica string
-	answer  peerapi.ReserveAnswer
+	answer  peerapi.ReserveResponse
 }
 
 // Claim asks the replicas for the key. Without a majority nothing is known, so
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -52,7 +52,7 @@
 	}
 	switch par := params.(type) {
 	case peerapi.Reserve:
-		*result.(*peerapi.ReserveAnswer) = fm.stores[id].Reserve(fm.clk.Now(), par)
+		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(fm.clk.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Dump:
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -89,7 +89,7 @@
 }
 
 // Reserve grants the key to an attempt, or tells who has it.
-func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveAnswer {
+func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveResponse {
 	key, err := ParseKey(res.Key)
 	if err != nil {
 		return refused("bad key")
@@ -109,21 +109,21 @@
 		return refused("ledger full")
 	}
 	st.put(key, record{attempt: res.Attempt})
-	return peerapi.ReserveAnswer{State: peerapi.ReserveGranted}
+	return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
 }
 
-func (rc record) reply(attempt string) peerapi.ReserveAnswer {
+func (rc record) reply(attempt string) peerapi.ReserveResponse {
 	if rc.answer != nil {
-		return peerapi.ReserveAnswer{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
+		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
 	}
 	if rc.attempt == attempt {
-		return peerapi.ReserveAnswer{State: peerapi.ReserveGranted}
+		return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
 	}
-	return peerapi.ReserveAnswer{State: peerapi.ReserveHeld, Attempt: rc.attempt}
+	return peerapi.ReserveResponse{State: peerapi.ReserveHeld, Attempt: rc.attempt}
 }
 
-func refused(reason string) peerapi.ReserveAnswer {
-	return peerapi.ReserveAnswer{State: peerapi.ReserveRefused, Reason: reason}
+func refused(reason string) peerapi.ReserveResponse {
+	return peerapi.ReserveResponse{State: peerapi.ReserveRefused, Reason: reason}
 }
 
 func (st *Store) put(key Key, rec record) {
