--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -154,8 +154,8 @@
 	After string `json:"after"`
 }
 
-// DumpAnswer is a page of records.
-type DumpAnswer struct {
+// DumpResponse is a page of records.
+type DumpResponse struct {
 	Records []Record `json:"records"`
 	// Floor is the stamp above which the replica remembers every grant.
 	Floor time.Time `json:"floor"`
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -56,7 +56,7 @@
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Dump:
-		*result.(*peerapi.DumpAnswer) = fm.stores[id].Dump(par.After)
+		*result.(*peerapi.DumpResponse) = fm.stores[id].Dump(par.After)
 	default:
 		return errors.New("unknown method " + method)
 	}
--- a/internal/entry/ledger/recover.go
+++ b/internal/entry/ledger/recover.go
@@ -77,7 +77,7 @@
 	after := ""
 	var floor time.Time
 	for {
-		var page peerapi.DumpAnswer
+		var page peerapi.DumpResponse
 		callCtx, cancel := context.WithTimeout(ctx, recoverTimeout)
 		err := rc.Caller.Call(callCtx, id, peerapi.LedgerDump, peerapi.Dump{After: after}, &page)
 		cancel()
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -172,7 +172,7 @@
 }
 
 // Dump returns a page of records behind a key.
-func (st *Store) Dump(after string) peerapi.DumpAnswer {
+func (st *Store) Dump(after string) peerapi.DumpResponse {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	keys := make([]string, 0, len(st.records))
@@ -182,7 +182,7 @@
 		}
 	}
 	sort.Strings(keys)
-	page := peerapi.DumpAnswer{Floor: st.floor, More: len(keys) > dumpPage}
+	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPage}
 	for _, key := range keys[:min(len(keys), dumpPage)] {
 		rec := st.records[key]
 		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Answer: rec.answer})
