--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -163,8 +163,8 @@
 	Leader   string   `json:"leader,omitempty"`
 }
 
-// QueueOf splits a path into the queue's and the job's part.
-func QueueOf(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
+// ResolveQueue splits a path into the queue's and the job's part.
+func ResolveQueue(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
 	qu, ok := ct.Find(host, path)
 	if !ok {
 		return catalog.Queue{}, "", false
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -219,7 +219,7 @@
 	jb := *call.Job
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
-		qu, id, ok := jobapi.QueueOf(ct, call.Host, call.Path)
+		qu, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path)
 		switch {
 		case ct.Version == 0:
 			rep = &noCatalog
@@ -254,7 +254,7 @@
 	if ct.Version == 0 {
 		return nil, &noCatalog
 	}
-	_, id, ok := jobapi.QueueOf(ct, call.Host, call.Path)
+	_, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path)
 	if !ok {
 		return nil, &jobapi.Reply{Outcome: jobapi.NoQueue}
 	}
@@ -270,7 +270,7 @@
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
-		if qu, id, ok := jobapi.QueueOf(ct, call.Host, call.Path); ok && id == "" {
+		if qu, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path); ok && id == "" {
 			rep = jobapi.Reply{Outcome: jobapi.OK, Pending: rd.Pending(qu.Key())}
 			return
 		}
