--- a/internal/contract/caller/caller.go
+++ b/internal/contract/caller/caller.go
@@ -39,8 +39,8 @@
 	PathCall = "/v1/call/"
 )
 
-// KeyAnswer is the answer to a request for a key.
-type KeyAnswer struct {
+// KeyResponse is the answer to a request for a key.
+type KeyResponse struct {
 	Key string `json:"key"`
 }
 
--- a/internal/entry/callerapi/front.go
+++ b/internal/entry/callerapi/front.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return echo.NewHTTPError(http.StatusInternalServerError, err.Error())
 	}
-	return ctx.JSON(http.StatusOK, caller.KeyAnswer{Key: key})
+	return ctx.JSON(http.StatusOK, caller.KeyResponse{Key: key})
 }
 
 func (fr *Server) call(ctx echo.Context) error {
