--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -117,9 +117,9 @@
 	ms.adverts[ad.Entry] = &advert{free: ad.Free, at: ms.Clock.Now()}
 }
 
-// Pick returns the reachable peer with the most free slots for a service,
+// PickPeer returns the reachable peer with the most free slots for a service,
 // first in this zone, and counts one of them as used.
-func (ms *Mesh) Pick(service weir.ServiceName) (string, bool) {
+func (ms *Mesh) PickPeer(service weir.ServiceName) (string, bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	best, bestFree, bestNear := "", 0, false
