--- a/internal/contract/endpoint/endpoint.go
+++ b/internal/contract/endpoint/endpoint.go
@@ -104,8 +104,8 @@
 	Usage []command.UsageReport `json:"usage,omitempty"`
 }
 
-// Answer is the entry instance's answer to an announcement.
-type Answer struct {
+// AnnounceResponse is the entry instance's answer to an announcement.
+type AnnounceResponse struct {
 	Granted bool   `json:"granted"`
 	Reason  string `json:"reason,omitempty"`
 	// LeaseMillis is how long the lease holds from the time of the request.
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -25,12 +25,12 @@
 )
 
 // Announce takes an endpoint's announcement and grants or refuses a lease.
-func (tb *Table) Announce(ann endpoint.Announcement) endpoint.Answer {
+func (tb *Table) Announce(ann endpoint.Announcement) endpoint.AnnounceResponse {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	if reason := tb.refusal(ann); reason != "" {
-		return endpoint.Answer{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
+		return endpoint.AnnounceResponse{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
@@ -46,7 +46,7 @@
 	if wk.serving {
 		tb.pumpFor(now, wk)
 	}
-	return endpoint.Answer{
+	return endpoint.AnnounceResponse{
 		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), AnnounceMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
 		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
--- a/internal/standin/worker/announce.go
+++ b/internal/standin/worker/announce.go
@@ -109,8 +109,8 @@
 	wk.reports = kept
 }
 
-func (wk *Worker) post(ctx context.Context, entry string, ann endpoint.Announcement) (endpoint.Answer, error) {
-	var ans endpoint.Answer
+func (wk *Worker) post(ctx context.Context, entry string, ann endpoint.Announcement) (endpoint.AnnounceResponse, error) {
+	var ans endpoint.AnnounceResponse
 	body, err := json.Marshal(ann)
 	if err != nil {
 		return ans, err
--- a/internal/standin/worker/announcer.go
+++ b/internal/standin/worker/announcer.go
@@ -30,7 +30,7 @@
 }
 
 // Announce sends one announcement.
-func (an *Announcer) Announce(ctx context.Context, ann endpoint.Announcement) (endpoint.Answer, error) {
+func (an *Announcer) Announce(ctx context.Context, ann endpoint.Announcement) (endpoint.AnnounceResponse, error) {
 	return an.wk.post(ctx, an.addr, ann)
 }
 
