--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -170,7 +170,7 @@
 	switch {
 	case wk.runs[order.RunKey] != nil:
 	case order.Run <= wk.last[order.Task]:
-		ans.Refusal = weir.RefusedOld
+		ans.Refusal = weir.RefusedStale
 	case now.After(wk.origin.Add(order.Until)):
 		ans.Refusal = weir.RefusedLate
 	default:
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -162,7 +162,7 @@
 			return ans
 		case mw.runs[order.RunKey]:
 		case order.Run <= mw.last[order.Task]:
-			ans.Refusal = weir.RefusedOld
+			ans.Refusal = weir.RefusedStale
 		case order.Until < mw.clock(now):
 			ans.Refusal = weir.RefusedLate
 		default:
--- a/task.go
+++ b/task.go
@@ -61,8 +61,8 @@
 	RefusedNone Refusal = ""
 	// RefusedFenced says that a later leader has been at the worker.
 	RefusedFenced Refusal = "fenced"
-	// RefusedOld says that this or a later run was stopped or has ended there.
-	RefusedOld Refusal = "old run"
+	// RefusedStale says that this or a later run was stopped or has ended there.
+	RefusedStale Refusal = "old run"
 	// RefusedLate says that the lease had passed on arrival.
 	RefusedLate Refusal = "late"
 	// RefusedRoom says that the worker has no room.
