--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -103,7 +103,7 @@
 	}
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
-		return weir.AnswerNotRun(err.Error())
+		return weir.NotRunResponse(err.Error())
 	}
 	if !dp.Store.InRange(dp.Clock.Now(), key) {
 		return weir.AnswerUnknown("the key's time is past retention or in the future")
@@ -244,7 +244,7 @@
 func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Answer {
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
-		return weir.AnswerNotRun(err.Error())
+		return weir.NotRunResponse(err.Error())
 	}
 	claim := dp.group(key.Home(dp.zones())).Claim(ctx, req.Key, fl.attempt)
 	if claim.Won {
@@ -289,7 +289,7 @@
 // or one that may be repeated, is tried on a second slot.
 func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Answer {
 	dp.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
-	ans := weir.AnswerNotRun("not tried")
+	ans := weir.NotRunResponse("not tried")
 	ran := false
 	for range maxTries {
 		if !dp.Clock.Now().Before(req.Deadline) || ctx.Err() != nil {
@@ -343,7 +343,7 @@
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
 		if !errkind.Is(err, placement.KindNoSlot) {
-			return weir.AnswerNotRun(err.Error()), false
+			return weir.NotRunResponse(err.Error()), false
 		}
 		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
 			if ans, busy := dp.runAt(ctx, id, req); !busy {
@@ -380,7 +380,7 @@
 func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Answer {
 	slot, err := dp.Table.TryAcquire(&req)
 	if err != nil {
-		return weir.AnswerNotRun(ReasonNoSlot)
+		return weir.NotRunResponse(ReasonNoSlot)
 	}
 	ans, _ := dp.send(ctx, slot, req)
 	return ans
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -28,7 +28,7 @@
 	}
 	if reason := resp.Header(endpoint.HeaderRefused); reason != "" {
 		slot.Release(placement.Abandoned)
-		return weir.AnswerNotRun("endpoint refused: " + reason), true
+		return weir.NotRunResponse("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
 	return weir.Answer{
@@ -61,7 +61,7 @@
 func brokenAnswer(slot *placement.Slot, err error) (weir.Answer, bool) {
 	slot.Release(placement.Failed)
 	if errkind.Is(err, httpconn.KindNotSent) {
-		return weir.AnswerNotRun("endpoint not reached"), true
+		return weir.NotRunResponse("endpoint not reached"), true
 	}
 	return weir.AnswerUnknown(err.Error()), false
 }
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -117,7 +117,7 @@
 	ans := weir.AnswerUnknown(reason)
 	cl.Answer = &ans
 	// This attempt will not be dispatched, so what it was granted is freed.
-	go cl.record(weir.AnswerNotRun("not claimed"))
+	go cl.record(weir.NotRunResponse("not claimed"))
 	return cl
 }
 
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -149,9 +149,9 @@
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).State)
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "a"}).State)
 	require.Equal(t, "ledger full", st.Reserve(clk.Now(), peerapi.Reserve{Key: k3, Attempt: "a"}).Reason)
-	st.Finish(peerapi.Finish{Key: k2, Attempt: "b", Answer: weir.AnswerNotRun("x")})
+	st.Finish(peerapi.Finish{Key: k2, Attempt: "b", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
-	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.AnswerNotRun("x")})
+	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State)
 	whole := weir.Answer{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
 	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: whole})
@@ -271,7 +271,7 @@
 	fm.restart("a2")
 	fm.recover(t, "a2", ids...)
 	for _, id := range ids {
-		fm.stores[id].Finish(peerapi.Finish{Key: key, Attempt: "lost", Answer: weir.AnswerNotRun("not claimed")})
+		fm.stores[id].Finish(peerapi.Finish{Key: key, Attempt: "lost", Answer: weir.NotRunResponse("not claimed")})
 	}
 	claim := fm.group("a1", ids...).Claim(context.Background(), key, "again")
 	require.False(t, claim.Won, "the key was won before")
--- a/weir.go
+++ b/weir.go
@@ -79,8 +79,8 @@
 	Body        []byte      `json:"body,omitempty"`
 }
 
-// AnswerNotRun returns an answer that says the request did not run.
-func AnswerNotRun(reason string) Answer { return Answer{Kind: NotRun, Reason: reason} }
+// NotRunResponse returns an answer that says the request did not run.
+func NotRunResponse(reason string) Answer { return Answer{Kind: NotRun, Reason: reason} }
 
 // AnswerUnknown returns an answer that says the request may have run.
 func AnswerUnknown(reason string) Answer { return Answer{Kind: Unknown, Reason: reason} }
