--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -9,7 +9,7 @@
 	"greengageweir/internal/config/catalog"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
-	"greengageweir/internal/schedule/plan"
+	"greengageweir/internal/schedule/placement"
 
 	"github.com/VictoriaMetrics/metrics"
 
@@ -22,7 +22,7 @@
 	if re.planning {
 		return
 	}
-	var starts []plan.Placement
+	var starts []placement.Placement
 	ow.Store.Read(func(rd store.Reader) {
 		demand := ow.demand(rd)
 		if len(demand) == 0 {
@@ -30,7 +30,7 @@
 		}
 		workers := ow.usable(re, rd, now, demand)
 		groups := ow.ready(ctx, re, rd, demand, roomOf(workers))
-		starts = plan.Place(ow.Wall.Now(), groups, workers)
+		starts = placement.Place(ow.Wall.Now(), groups, workers)
 	})
 	if len(starts) == 0 {
 		return
@@ -56,7 +56,7 @@
 
 // started orders the runs whose intents are committed. It runs on the
 // committer's goroutine.
-func (ow *Scheduler) started(re *reign, starts []plan.Placement, answers []store.Result, err error) {
+func (ow *Scheduler) started(re *reign, starts []placement.Placement, answers []store.Result, err error) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -92,7 +92,7 @@
 	return out
 }
 
-func (ow *Scheduler) order(re *reign, rd store.Reader, pl plan.Placement) {
+func (ow *Scheduler) order(re *reign, rd store.Reader, pl placement.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
 	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Over() {
@@ -134,7 +134,7 @@
 
 // roomOf returns, for each pool, the most that any of its workers has free of
 // each kind of room. What does not fit there need not be looked at further.
-func roomOf(workers []plan.Worker) map[weir.PoolName]spec.Resources {
+func roomOf(workers []placement.Worker) map[weir.PoolName]spec.Resources {
 	room := map[weir.PoolName]spec.Resources{}
 	for _, wk := range workers {
 		most := room[wk.Pool]
@@ -146,8 +146,8 @@
 }
 
 // ready lists the steps with tasks that may start now.
-func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Resources) []plan.Group {
-	var groups []plan.Group
+func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Resources) []placement.Group {
+	var groups []placement.Group
 	wall := ow.Wall.Now()
 	for _, dm := range demand {
 		js, qu := dm.job, dm.queue
@@ -187,14 +187,14 @@
 	return work
 }
 
-func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (plan.Group, bool) {
+func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (placement.Group, bool) {
 	ss := &js.Occurrences[oc][sp]
 	if ss.Left == 0 || !js.StepReady(oc, sp) {
-		return plan.Group{}, false
+		return placement.Group{}, false
 	}
 	step := js.Spec.Steps[sp]
 	ref := spec.TaskRef{Job: js.Spec.ID, Occurrence: oc, Step: sp}
-	gr := plan.Group{
+	gr := placement.Group{
 		Step: ref, Spec: step, Pool: qu.Pool, Priority: qu.Priority,
 		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), On: map[weir.InstanceID]int{},
 	}
@@ -212,12 +212,12 @@
 			if tk.EndedAt.After(since) {
 				since = tk.EndedAt
 			}
-			gr.Tasks = append(gr.Tasks, plan.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, Avoid: re.avoid[ref], Since: since})
+			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, Avoid: re.avoid[ref], Since: since})
 		}
 	}
 	if step.Gang {
 		if len(gr.Tasks) < len(ss.Tasks) {
-			return plan.Group{}, false
+			return placement.Group{}, false
 		}
 		for ix := range gr.Tasks {
 			gr.Tasks[ix].Run = highest + 1
@@ -248,15 +248,15 @@
 }
 
 // workerView is a worker as the plan sees it.
-type workerView = plan.Worker
+type workerView = placement.Worker
 
 // usable lists the workers that can take tasks of some jobs now.
-func (ow *Scheduler) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []plan.Worker {
+func (ow *Scheduler) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []placement.Worker {
 	pools := map[weir.PoolName]bool{}
 	for _, dm := range demand {
 		pools[dm.queue.Pool] = true
 	}
-	workers := make([]plan.Worker, 0, len(re.sessions))
+	workers := make([]placement.Worker, 0, len(re.sessions))
 	for id, at := range re.sessions {
 		if !pools[at.worker.Pool] {
 			continue
@@ -269,7 +269,7 @@
 		if hl.resting(now) {
 			continue
 		}
-		pw := plan.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
+		pw := placement.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
 		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
--- a/internal/schedule/plan/load_test.go
+++ b/internal/schedule/placement/load_test.go
@@ -1,4 +1,4 @@
-package plan
+package placement
 
 import (
 	"fmt"
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/placement/plan.go
@@ -9,7 +9,7 @@
 // Usage:
 //
 //	for _, pl := range plan.Place(now, groups, workers) { ... }
-package plan
+package placement
 
 import (
 	"cmp"
