--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -40,7 +40,7 @@
 func (cc *controlCommand) check() error {
 	var ck settings.Checks
 	cc.commonFlags.check(&ck)
-	ck.Need("--data-dir", cc.DataDir != "")
+	ck.Require("--data-dir", cc.DataDir != "")
 	ck.Range("--heartbeat", cc.Heartbeat, 10*time.Millisecond, 5*time.Second)
 	ck.Range("--election", cc.Election, 4*cc.Heartbeat, time.Minute)
 	cc.members = map[string]string{}
@@ -49,7 +49,7 @@
 		ck.Address("--member", addr)
 		cc.members[id] = addr
 	}
-	ck.Need("--member "+cc.ID+"=...", cc.members[cc.ID] != "")
+	ck.Require("--member "+cc.ID+"=...", cc.members[cc.ID] != "")
 	cc.platforms = map[weir.Zone]string{}
 	for _, item := range split(cc.Platforms) {
 		zone, addr := ck.Pair("--platform", item)
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -51,7 +51,7 @@
 	ck.Range("--drain-notice", ec.DrainNotice, minNotice, maxNotice)
 	ck.Range("--drain-patience", ec.DrainPatience, time.Second, time.Hour)
 	ec.Controls = split(ec.Controls)
-	ck.Need("--control", len(ec.Controls) > 0)
+	ck.Require("--control", len(ec.Controls) > 0)
 	for _, addr := range ec.Controls {
 		ck.Address("--control", addr)
 	}
@@ -63,7 +63,7 @@
 		ec.peers = append(ec.peers, mesh.Peer{ID: id, Zone: weir.Zone(zone), Addr: addr})
 		self = self || (id == ec.ID && zone == ec.Zone)
 	}
-	ck.Need(fmt.Sprintf("--entry %s=%s=...", ec.ID, ec.Zone), self)
+	ck.Require(fmt.Sprintf("--entry %s=%s=...", ec.ID, ec.Zone), self)
 	return ck.Err()
 }
 
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -50,9 +50,9 @@
 	if jc.MetricsAddr != "" {
 		ck.Address("--metrics-addr", jc.MetricsAddr)
 	}
-	ck.Need("--data-dir", jc.DataDir != "")
+	ck.Require("--data-dir", jc.DataDir != "")
 	jc.Seeds = split(jc.Seeds)
-	ck.Need("--seed", len(jc.Seeds) > 0)
+	ck.Require("--seed", len(jc.Seeds) > 0)
 	for _, seed := range jc.Seeds {
 		ck.Address("--seed", seed)
 	}
--- a/internal/duty/settings/settings.go
+++ b/internal/duty/settings/settings.go
@@ -101,8 +101,8 @@
 	_ = file.Close()
 }
 
-// Need reports a setting that is missing.
-func (ck *Checks) Need(flag string, present bool) {
+// Require reports a setting that is missing.
+func (ck *Checks) Require(flag string, present bool) {
 	if !present {
 		ck.add(flag, "missing")
 	}
