--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -32,7 +32,7 @@
 			_ = ow.Logger.Log("level", "warn", "msg", "ends not recorded", "worker", id, "err", err)
 			return
 		}
-		at.ss.Recorded(out.Number)
+		at.ss.EndsCommitted(out.Number)
 		ow.changed(at)
 		ow.tellEnded(out.Ends)
 	}
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -148,7 +148,7 @@
 			for en := range out.Ends {
 				wd.apply(store.Change{End: &out.Ends[en]})
 			}
-			ss.Recorded(out.Number)
+			ss.EndsCommitted(out.Number)
 		} else {
 			ss.NotRecorded()
 		}
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -166,9 +166,9 @@
 	return until
 }
 
-// Recorded tells that the ends handed out by Reconcile are committed, those
+// EndsCommitted tells that the ends handed out by Reconcile are committed, those
 // that the worker listed up to a number.
-func (ss *Session) Recorded(number int64) {
+func (ss *Session) EndsCommitted(number int64) {
 	ss.mu.Lock()
 	ss.recording = false
 	ss.recorded = max(ss.recorded, number)
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -116,7 +116,7 @@
 	ss.NotRecorded()
 	out := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, out.Ends, 1)
-	ss.Recorded(out.Number)
+	ss.EndsCommitted(out.Number)
 	require.False(t, ss.takeReport(fw.clk.Now(), fw.reports), "listed again, known already")
 	ss.renew(ctx)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), nil).Ends)
@@ -138,7 +138,7 @@
 	second := ss.Reconcile(fw.clk.Now(), placed)
 	ss.NotRecorded()
 	if len(second.Ends) > 0 {
-		ss.Recorded(second.Number)
+		ss.EndsCommitted(second.Number)
 	}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 2, "both are still to be recorded")
 }
