--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -88,19 +88,19 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (cl *Client) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, startPath, request{Life: life, Order: &order}, &ans)
 	return ans, err
 }
 
 // Stop implements weir.TaskWorkers.
-func (cl *Client) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, stopPath, request{Life: life, Key: key, Token: token}, &ans)
 	return ans, err
 }
 
 // Pace implements weir.TaskWorkers.
-func (cl *Client) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, pacePath, request{Life: life, Key: key, Percent: percent, Token: token}, &ans)
 	return ans, err
 }
@@ -116,7 +116,7 @@
 	ech := ops.NewEcho()
 	ech.POST(startPath, serve(func(ctx context.Context, req request) (any, error) {
 		if req.Order == nil {
-			return weir.OrderAnswer{Refusal: weir.RefusedInvalid}, nil
+			return weir.OrderResponse{Refusal: weir.RefusedInvalid}, nil
 		}
 		return worker.Start(ctx, req.Life, *req.Order)
 	}))
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -33,11 +33,11 @@
 	return weir.WorkerReport{Clock: time.Hour, Born: 1, Running: wk.running}, nil
 }
 
-func (wk *idle) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (wk *idle) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	wk.stops = append(wk.stops, key)
-	return weir.OrderAnswer{}, nil
+	return weir.OrderResponse{}, nil
 }
 
 func (wk *idle) stopped() []weir.RunKey {
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -40,8 +40,8 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
-	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) {
+func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
 		ans, err := wk.Start(ctx, life, order)
 		if ans.Refusal == weir.RefusedRoom {
 			fl.refused.Add(1)
@@ -51,13 +51,15 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (fl *Fleet) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
-	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) { return wk.Stop(ctx, life, key, token) })
+func (fl *Fleet) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
+	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) { return wk.Stop(ctx, life, key, token) })
 }
 
 // Pace implements weir.TaskWorkers.
-func (fl *Fleet) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (weir.OrderAnswer, error) {
-	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderAnswer, error) { return wk.Pace(ctx, life, key, percent, token) })
+func (fl *Fleet) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (weir.OrderResponse, error) {
+	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
+		return wk.Pace(ctx, life, key, percent, token)
+	})
 }
 
 // Renew implements weir.TaskWorkers.
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -159,10 +159,10 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
+	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
 	if ans.Refusal = wk.admit(life, order.Token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
@@ -246,10 +246,10 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wk *Worker) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wk *Worker) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
+	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
 	if ans.Refusal = wk.admit(life, token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
@@ -261,10 +261,10 @@
 }
 
 // Pace implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
-func (wk *Worker) Pace(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderAnswer, error) {
+func (wk *Worker) Pace(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	return weir.OrderAnswer{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
+	return weir.OrderResponse{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
 }
 
 // Renew implements weir.TaskWorkers.
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -48,18 +48,18 @@
 	return rep, nil
 }
 
-func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.starts = append(fw.starts, order.RunKey)
-	return weir.OrderAnswer{Clock: fw.clock()}, nil
+	return weir.OrderResponse{Clock: fw.clock()}, nil
 }
 
-func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.stops = append(fw.stops, key)
-	return weir.OrderAnswer{Clock: fw.clock()}, nil
+	return weir.OrderResponse{Clock: fw.clock()}, nil
 }
 
 type always struct{}
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -127,7 +127,7 @@
 var errSilent = errors.New("no answer")
 
 // carry lets an order meet its fate; do is what the worker does.
-func (wd *world) carry(do func() weir.OrderAnswer) (weir.OrderAnswer, error) {
+func (wd *world) carry(do func() weir.OrderResponse) (weir.OrderResponse, error) {
 	switch wd.next {
 	case fateAnswered:
 		return do(), nil
@@ -137,7 +137,7 @@
 		wd.delayed = append(wd.delayed, func() { do() })
 	case fateLost:
 	}
-	return weir.OrderAnswer{}, errSilent
+	return weir.OrderResponse{}, errSilent
 }
 
 func (wd *world) worker(life weir.WorkerIncarnation) *modelWorker {
@@ -150,12 +150,12 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wd *world) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wd *world) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	mw := wd.worker(life)
-	return wd.carry(func() weir.OrderAnswer {
+	return wd.carry(func() weir.OrderResponse {
 		now := wd.clk.Now()
 		mw.pass(now)
-		ans := weir.OrderAnswer{Clock: mw.clock(now)}
+		ans := weir.OrderResponse{Clock: mw.clock(now)}
 		switch {
 		case order.Token < mw.token:
 			ans.Refusal = weir.RefusedFenced
@@ -184,20 +184,20 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wd *world) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wd *world) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
 	mw := wd.worker(life)
-	return wd.carry(func() weir.OrderAnswer {
+	return wd.carry(func() weir.OrderResponse {
 		now := wd.clk.Now()
 		mw.pass(now)
 		if token < mw.token {
-			return weir.OrderAnswer{Clock: mw.clock(now), Refusal: weir.RefusedFenced}
+			return weir.OrderResponse{Clock: mw.clock(now), Refusal: weir.RefusedFenced}
 		}
 		mw.token = token
 		if mw.runs[key] {
 			mw.end(key, store.EndStopped)
 		}
 		mw.last[key.Task] = max(mw.last[key.Task], key.Run)
-		return weir.OrderAnswer{Clock: mw.clock(now)}
+		return weir.OrderResponse{Clock: mw.clock(now)}
 	})
 }
 
@@ -205,9 +205,9 @@
 func (wd *world) Renew(_ context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	mw := wd.worker(life)
 	var rep weir.WorkerReport
-	_, err := wd.carry(func() weir.OrderAnswer {
+	_, err := wd.carry(func() weir.OrderResponse {
 		rep = mw.renew(wd, order)
-		return weir.OrderAnswer{}
+		return weir.OrderResponse{}
 	})
 	return rep, err
 }
@@ -243,8 +243,8 @@
 }
 
 // Pace implements weir.TaskWorkers.
-func (*world) Pace(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderAnswer, error) {
-	return weir.OrderAnswer{}, errSilent
+func (*world) Pace(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderResponse, error) {
+	return weir.OrderResponse{}, errSilent
 }
 
 // Forget implements weir.TaskWorkers.
--- a/task.go
+++ b/task.go
@@ -121,8 +121,8 @@
 	Wait time.Duration
 }
 
-// OrderAnswer is a worker's answer to an order.
-type OrderAnswer struct {
+// OrderResponse is a worker's answer to an order.
+type OrderResponse struct {
 	Refusal Refusal
 	Clock   time.Duration
 }
@@ -130,11 +130,11 @@
 // TaskWorkers sends orders to workers. An error means that the order may have
 // been carried out, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderAnswer, error)
-	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderAnswer, error)
+	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderResponse, error)
+	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
 	Renew(ctx context.Context, life WorkerIncarnation, order RenewOrder) (WorkerReport, error)
 	// Pace lets a run work at a share of its speed, from 0 to 100 percent.
-	Pace(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderAnswer, error)
+	Pace(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
 	// Forget closes the connections to an address that is no longer used.
 	Forget(address string)
 }
