--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -110,8 +110,8 @@
 	return cl.Call(ctx, method, params, result)
 }
 
-// Advertised takes an advert of a peer.
-func (ms *Mesh) Advertised(ad peerapi.Advert) {
+// HandleAdvert takes an advert of a peer.
+func (ms *Mesh) HandleAdvert(ad peerapi.Advert) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.adverts[ad.Entry] = &advert{free: ad.Free, at: ms.Clock.Now()}
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -67,7 +67,7 @@
 		if err := call.Decode(&ad); err != nil {
 			return nil, err
 		}
-		sv.Mesh.Advertised(ad)
+		sv.Mesh.HandleAdvert(ad)
 		return nil, nil
 	}
 	return sv.handleLedger(ctx, call)
