--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -98,7 +98,7 @@
 // Ready reports whether the link to an entry instance is up.
 func (ms *Mesh) Ready(id string) bool {
 	cl, ok := ms.clients[id]
-	return ok && cl.Ready()
+	return ok && cl.Connected()
 }
 
 // Call implements ledger.Caller.
--- a/internal/entry/viewsync/follow.go
+++ b/internal/entry/viewsync/follow.go
@@ -157,7 +157,7 @@
 func (fl *Subscriber) needsFeed() bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.feed < 0 || fl.stale || !fl.links[fl.feed].Ready() || fl.links[fl.feed].Conn() != fl.feedOn
+	return fl.feed < 0 || fl.stale || !fl.links[fl.feed].Connected() || fl.links[fl.feed].Conn() != fl.feedOn
 }
 
 // subscribe tries the control processes behind the last one, in turn.
--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -118,8 +118,8 @@
 	return cl.conn
 }
 
-// Ready reports whether the link is up.
-func (cl *Client) Ready() bool { return cl.Conn() != nil }
+// Connected reports whether the link is up.
+func (cl *Client) Connected() bool { return cl.Conn() != nil }
 
 // Call sends a request and waits for its result.
 func (cl *Client) Call(ctx context.Context, method string, params, result any) error {
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -61,7 +61,7 @@
 
 func TestCall(t *testing.T) {
 	cl := startClient(t, startServer(t, echo).Address(), testToken)
-	require.Eventually(t, cl.Ready, 5*time.Second, time.Millisecond)
+	require.Eventually(t, cl.Connected, 5*time.Second, time.Millisecond)
 	var got string
 	require.NoError(t, cl.Call(context.Background(), "echo", "hi", &got))
 	require.Equal(t, "e1:hi", got)
@@ -74,7 +74,7 @@
 	sv := startServer(t, func(context.Context, Call) (any, error) { called.Store(true); return nil, nil })
 	cl := startClient(t, sv.Address(), "another-token-entirely")
 	time.Sleep(200 * time.Millisecond)
-	require.False(t, cl.Ready())
+	require.False(t, cl.Connected())
 	require.False(t, called.Load())
 	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
 }
@@ -116,9 +116,9 @@
 		}
 	}()
 	cl := startClient(t, lis.Addr().String(), testToken)
-	require.Eventually(t, cl.Ready, 5*time.Second, time.Millisecond)
+	require.Eventually(t, cl.Connected, 5*time.Second, time.Millisecond)
 	silent.Store(true)
-	require.Eventually(t, func() bool { return accepted.Load() == 2 && cl.Ready() }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return accepted.Load() == 2 && cl.Connected() }, 10*time.Second, 10*time.Millisecond)
 	var got string
 	require.NoError(t, cl.Call(context.Background(), "echo", "again", &got))
 }
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -131,7 +131,7 @@
 // Ready reports whether the link to a process is up.
 func (ls *Links) Ready(id string) bool {
 	mb := ls.member(id)
-	return mb != nil && mb.calls.Ready()
+	return mb != nil && mb.calls.Connected()
 }
 
 func (ls *Links) member(id string) *member {
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -35,7 +35,7 @@
 			return nil, nil
 		}
 		go func() { _ = cl.Run(ctx) }()
-		for !cl.Ready() {
+		for !cl.Connected() {
 			time.Sleep(time.Millisecond)
 		}
 		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.Subscribe{}, nil))
