--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -70,7 +70,7 @@
 				_ = lg.Log("level", "info", "msg", "settings read", "signal", signalled, "seeds", strings.Join(st.Seeds, ","), "err", err)
 			}
 			if err == nil {
-				ros.Learn(st.SeedPeers())
+				ros.AddSeeds(st.SeedPeers())
 			}
 		}
 	}}
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -88,8 +88,8 @@
 	_ = ro.Logger.Log("level", "info", "msg", "process found", "peer", id)
 }
 
-// Learn makes further seeds known.
-func (ro *Roster) Learn(seeds []string) {
+// AddSeeds makes further seeds known.
+func (ro *Roster) AddSeeds(seeds []string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for _, id := range seeds {
