--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -27,7 +27,7 @@
 	}
 	reply := func(_ []store.Result, err error) {
 		if err != nil {
-			at.ss.NotRecorded()
+			at.ss.EndsNotCommitted()
 			ow.changed(at)
 			_ = ow.Logger.Log("level", "warn", "msg", "ends not recorded", "worker", id, "err", err)
 			return
@@ -37,7 +37,7 @@
 		ow.tellEnded(out.Ends)
 	}
 	if !ow.Committer.Submit(changes, reply) {
-		at.ss.NotRecorded()
+		at.ss.EndsNotCommitted()
 	}
 }
 
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -150,7 +150,7 @@
 			}
 			ss.EndsCommitted(out.Number)
 		} else {
-			ss.NotRecorded()
+			ss.EndsNotCommitted()
 		}
 	}
 	wd.send(ss, ft)
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// NotRecorded tells that ends handed out by Reconcile were not committed; the
+// EndsNotCommitted tells that ends handed out by Reconcile were not committed; the
 // next call hands them out again.
-func (ss *Session) NotRecorded() {
+func (ss *Session) EndsNotCommitted() {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	ss.recording = false
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -113,7 +113,7 @@
 	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	out := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, out.Ends, 1)
 	ss.EndsCommitted(out.Number)
@@ -136,7 +136,7 @@
 	require.Len(t, first.Ends, 1)
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1), end(2)}})
 	second := ss.Reconcile(fw.clk.Now(), placed)
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	if len(second.Ends) > 0 {
 		ss.EndsCommitted(second.Number)
 	}
@@ -163,7 +163,7 @@
 	placed := []PlacedRun{{Key: key}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 }
 
