--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -22,7 +22,7 @@
 	orders chan weir.MachineOrder
 }
 
-func (db *doneBefore) Order(_ context.Context, order weir.MachineOrder) (weir.MachineAnswer, error) {
+func (db *doneBefore) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
 	db.orders <- order
 	return weir.MachineAccepted, nil
 }
--- a/internal/job/scheduler/maintain_test.go
+++ b/internal/job/scheduler/maintain_test.go
@@ -24,7 +24,7 @@
 	orders []weir.MachineOrder
 }
 
-func (sp *slowPlatform) Order(ctx context.Context, order weir.MachineOrder) (weir.MachineAnswer, error) {
+func (sp *slowPlatform) Order(ctx context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
 	sp.mu.Lock()
 	sp.orders = append(sp.orders, order)
 	sp.mu.Unlock()
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -221,7 +221,7 @@
 }
 
 // Order implements weir.MachinePlatform.
-func (fl *Fleet) Order(_ context.Context, order weir.MachineOrder) (weir.MachineAnswer, error) {
+func (fl *Fleet) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
 	time.Sleep(2 * oneWay)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/task.go
+++ b/task.go
@@ -165,19 +165,19 @@
 	Worker InstanceID
 }
 
-// MachineAnswer is the platform's answer to an order.
-type MachineAnswer string
+// MachineResponse is the platform's answer to an order.
+type MachineResponse string
 
 // The answers.
 const (
 	// MachineAccepted says that the operation has begun, or has been done.
-	MachineAccepted MachineAnswer = "accepted"
+	MachineAccepted MachineResponse = "accepted"
 	// MachineBusy says that the machine is not up.
-	MachineBusy MachineAnswer = "busy"
+	MachineBusy MachineResponse = "busy"
 	// MachineRefused says that the order can never be carried out.
-	MachineRefused MachineAnswer = "refused"
+	MachineRefused MachineResponse = "refused"
 	// MachineThrottled says that too many orders came at once.
-	MachineThrottled MachineAnswer = "throttled"
+	MachineThrottled MachineResponse = "throttled"
 )
 
 // MachineOrder names who orders, for one operation on one machine.
@@ -194,7 +194,7 @@
 // been carried out.
 type MachinePlatform interface {
 	Machines(ctx context.Context) ([]Machine, error)
-	Order(ctx context.Context, order MachineOrder) (MachineAnswer, error)
+	Order(ctx context.Context, order MachineOrder) (MachineResponse, error)
 }
 
 // Advice names the workers that may run a step, with the ticket that each
