--- a/internal/contract/caller/caller.go
+++ b/internal/contract/caller/caller.go
@@ -51,7 +51,7 @@
 }
 
 // StatusOf returns the HTTP status that carries an answer.
-func StatusOf(ans weir.Answer) int {
+func StatusOf(ans weir.Response) int {
 	switch ans.Kind {
 	case weir.Complete:
 		return ans.Status
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -129,18 +129,18 @@
 
 // ReserveResponse is a replica's answer.
 type ReserveResponse struct {
-	State   ReserveState `json:"state"`
-	Attempt string       `json:"attempt,omitempty"`
-	Answer  *weir.Answer `json:"answer,omitempty"`
-	Reason  string       `json:"reason,omitempty"`
+	State   ReserveState   `json:"state"`
+	Attempt string         `json:"attempt,omitempty"`
+	Answer  *weir.Response `json:"answer,omitempty"`
+	Reason  string         `json:"reason,omitempty"`
 }
 
 // Finish records the outcome of an attempt; an outcome that did not run frees
 // the key.
 type Finish struct {
-	Key     string      `json:"key"`
-	Attempt string      `json:"attempt"`
-	Answer  weir.Answer `json:"answer"`
+	Key     string        `json:"key"`
+	Attempt string        `json:"attempt"`
+	Answer  weir.Response `json:"answer"`
 }
 
 // Join asks for the outcome of an attempt that is in flight.
@@ -164,7 +164,7 @@
 
 // Record is one record of the ledger.
 type Record struct {
-	Key     string       `json:"key"`
-	Attempt string       `json:"attempt"`
-	Answer  *weir.Answer `json:"answer,omitempty"`
+	Key     string         `json:"key"`
+	Attempt string         `json:"attempt"`
+	Answer  *weir.Response `json:"answer,omitempty"`
 }
--- a/internal/entry/callerapi/front.go
+++ b/internal/entry/callerapi/front.go
@@ -147,7 +147,7 @@
 	return ctx.JSON(http.StatusBadRequest, caller.OutcomeBody{Outcome: weir.NotRun, Reason: reason})
 }
 
-func write(ctx echo.Context, ans weir.Answer) error {
+func write(ctx echo.Context, ans weir.Response) error {
 	head := ctx.Response().Header()
 	head.Set(caller.HeaderOutcome, string(ans.Kind))
 	if ans.Kind == weir.Complete {
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -59,7 +59,7 @@
 	// won is set once the attempt has claimed the key.
 	won    atomic.Bool
 	done   chan struct{}
-	answer weir.Answer
+	answer weir.Response
 }
 
 // CallParams carries a request to another entry instance.
@@ -79,17 +79,17 @@
 
 // callAt calls a method with a request at another entry instance, and waits
 // for the answer until the deadline and some time more.
-func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, more time.Duration) (weir.Answer, error) {
+func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, more time.Duration) (weir.Response, error) {
 	remaining := req.Deadline.Sub(dp.Clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, remaining+more)
 	defer cancel()
-	var ans weir.Answer
+	var ans weir.Response
 	err := dp.Mesh.Call(ctx, id, method, CallParams{Request: req, Remaining: remaining}, &ans)
 	return ans, err
 }
 
 // Do returns the answer to a caller's request.
-func (dp *Dispatcher) Do(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) Do(ctx context.Context, req weir.Request) weir.Response {
 	begin := dp.Clock.Now()
 	ans := dp.route(ctx, req)
 	metrics.GetOrCreateCounter(`weir_answers_total{kind="` + string(ans.Kind) + `"}`).Inc()
@@ -97,7 +97,7 @@
 	return ans
 }
 
-func (dp *Dispatcher) route(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) route(ctx context.Context, req weir.Request) weir.Response {
 	if req.Key == "" {
 		return dp.place(ctx, req)
 	}
@@ -123,13 +123,13 @@
 
 // callHome runs the request at another entry instance. It reports false where
 // the request certainly did not get there.
-func (dp *Dispatcher) callHome(ctx context.Context, id string, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) callHome(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
 	if !dp.Mesh.Ready(id) {
-		return weir.Answer{}, false
+		return weir.Response{}, false
 	}
 	ans, err := dp.callAt(ctx, id, peerapi.EntryCall, req, 2*flightGrace)
 	if errkind.Is(err, peer.KindNotSent) {
-		return weir.Answer{}, false
+		return weir.Response{}, false
 	}
 	if err != nil {
 		return weir.AnswerUnknown("home " + id + " did not answer"), true
@@ -164,7 +164,7 @@
 
 // RunKeyed claims the key and runs the request, or returns what is recorded. A
 // second request with the same key waits for the first.
-func (dp *Dispatcher) RunKeyed(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) RunKeyed(ctx context.Context, req weir.Request) weir.Response {
 	attempt := dp.Self + "/" + uuid.NewString()
 	fl, first := dp.startFlight(req.Key, attempt)
 	if first {
@@ -219,7 +219,7 @@
 	close(fl.done)
 }
 
-func (fl *flight) wait(ctx context.Context) weir.Answer {
+func (fl *flight) wait(ctx context.Context) weir.Response {
 	select {
 	case <-fl.done:
 		return fl.answer
@@ -231,7 +231,7 @@
 // AwaitAttempt returns the outcome of an attempt that is in flight here. Only one that
 // has claimed the key can be waited for: two leaders that both lost the claim
 // would else wait for each other.
-func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Answer {
+func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Response {
 	dp.mu.Lock()
 	fl, ok := dp.flights[jo.Key]
 	dp.mu.Unlock()
@@ -241,7 +241,7 @@
 	return fl.wait(ctx)
 }
 
-func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Answer {
+func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Response {
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
 		return weir.NotRunResponse(err.Error())
@@ -263,8 +263,8 @@
 }
 
 // askHolder waits for the outcome at the instance that leads the attempt.
-func (dp *Dispatcher) askHolder(ctx context.Context, holder string, jo peerapi.Join, otherwise weir.Answer) weir.Answer {
-	var ans weir.Answer
+func (dp *Dispatcher) askHolder(ctx context.Context, holder string, jo peerapi.Join, otherwise weir.Response) weir.Response {
+	var ans weir.Response
 	if dp.Mesh.Call(ctx, holder, peerapi.LedgerJoin, jo, &ans) != nil {
 		return otherwise
 	}
@@ -287,7 +287,7 @@
 
 // place runs a request on a slot. Only a request that certainly did not run,
 // or one that may be repeated, is tried on a second slot.
-func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Response {
 	dp.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
 	ans := weir.NotRunResponse("not tried")
 	ran := false
@@ -330,7 +330,7 @@
 	return fn(&dp.budget)
 }
 
-func (dp *Dispatcher) mayRetry(req weir.Request, ans weir.Answer) bool {
+func (dp *Dispatcher) mayRetry(req weir.Request, ans weir.Response) bool {
 	if !req.Repeatable || ans.Kind != weir.Unknown {
 		return false
 	}
@@ -339,7 +339,7 @@
 
 // tryOnce takes one slot, here, at a peer that advertises one, or here after
 // waiting, and runs the request on it.
-func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Response, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
 		if !errkind.Is(err, placement.KindNoSlot) {
@@ -358,17 +358,17 @@
 
 // runAt runs the request on a slot of another entry instance. It reports true
 // where that had none, so that nothing ran.
-func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
 	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, patience(req))
 	switch {
 	case errkind.Is(err, peer.KindNotSent):
 		dp.Mesh.Exhausted(id, req.Service)
-		return weir.Answer{}, true
+		return weir.Response{}, true
 	case err != nil:
 		return weir.AnswerUnknown("entry " + id + " did not answer"), false
 	case ans.Kind == weir.NotRun && ans.Reason == ReasonNoSlot:
 		dp.Mesh.Exhausted(id, req.Service)
-		return weir.Answer{}, true
+		return weir.Response{}, true
 	}
 	return ans, false
 }
@@ -377,7 +377,7 @@
 const ReasonNoSlot = "no free slot at this entry instance"
 
 // RunOnFreeSlot runs a peer's request on a free slot of this instance, if there is one.
-func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Response {
 	slot, err := dp.Table.TryAcquire(&req)
 	if err != nil {
 		return weir.NotRunResponse(ReasonNoSlot)
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -30,7 +30,7 @@
 type fakeMesh struct {
 	stores map[string]*ledger.Store
 	down   atomic.Bool
-	join   func(ctx context.Context, jo peerapi.Join) weir.Answer
+	join   func(ctx context.Context, jo peerapi.Join) weir.Response
 }
 
 func (fm *fakeMesh) Call(ctx context.Context, id, method string, params, result any) error {
@@ -43,7 +43,7 @@
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Join:
-		*result.(*weir.Answer) = fm.join(ctx, par)
+		*result.(*weir.Response) = fm.join(ctx, par)
 	default:
 		return errors.New(method)
 	}
@@ -102,7 +102,7 @@
 }
 
 // lead runs a request as its key's leader, whoever that is by rank.
-func (rg *rig) lead(req weir.Request) weir.Answer {
+func (rg *rig) lead(req weir.Request) weir.Response {
 	if req.Key == "" {
 		return rg.Do(context.Background(), req)
 	}
@@ -272,13 +272,13 @@
 	for _, id := range []string{"a1", "a2"} {
 		rg.mesh.stores[id].Reserve(rg.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
 	}
-	rg.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Answer {
+	rg.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
 		rg.mu.Lock()
 		ours := rg.flights[req.Key].attempt
 		rg.mu.Unlock()
 		return rg.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
 	}
-	answered := make(chan weir.Answer, 1)
+	answered := make(chan weir.Response, 1)
 	go func() { answered <- rg.lead(req) }()
 	select {
 	case ans := <-answered:
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -17,7 +17,7 @@
 
 // send runs a request on a slot and gives the slot back. The second result
 // says whether another slot may be tried: the request certainly did not run.
-func (dp *Dispatcher) send(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) send(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+patience(req))
 	defer cancel()
 	begin := dp.Clock.Now()
@@ -31,7 +31,7 @@
 		return weir.NotRunResponse("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
-	return weir.Answer{
+	return weir.Response{
 		Kind: weir.Complete, Status: resp.Status, ContentType: resp.Header("Content-Type"), Body: resp.Body,
 	}, false
 }
@@ -58,7 +58,7 @@
 
 // brokenAnswer tells what an error on the way means. A deadline counts
 // against the endpoint, since a silent one shows itself in no other way.
-func brokenAnswer(slot *placement.Slot, err error) (weir.Answer, bool) {
+func brokenAnswer(slot *placement.Slot, err error) (weir.Response, bool) {
 	slot.Release(placement.Failed)
 	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.NotRunResponse("endpoint not reached"), true
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -72,7 +72,7 @@
 	// Won says that this attempt, and no other, may be dispatched.
 	Won bool
 	// Answer is set where the request is answered already.
-	Answer *weir.Answer
+	Answer *weir.Response
 	// Holder is the attempt that has the key, where there is one.
 	Holder string
 
@@ -142,7 +142,7 @@
 
 // Finish records the outcome. It returns when two replicas have it or the
 // time is up; the rest goes on in the background.
-func (cl *Claim) Finish(ctx context.Context, ans weir.Answer) {
+func (cl *Claim) Finish(ctx context.Context, ans weir.Response) {
 	invariant.Check(cl.Won, "onlyWinnersFinish", "key", cl.key)
 	done := make(chan struct{}, len(cl.gr.Replicas))
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
@@ -167,7 +167,7 @@
 }
 
 // record tells all replicas the outcome without waiting for the caller.
-func (cl *Claim) record(ans weir.Answer) {
+func (cl *Claim) record(ans weir.Response) {
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
 	var wg sync.WaitGroup
 	for _, id := range cl.gr.Replicas {
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -153,7 +153,7 @@
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
 	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State)
-	whole := weir.Answer{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
+	whole := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
 	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: whole})
 	recorded := st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -53,7 +53,7 @@
 
 type record struct {
 	attempt string
-	answer  *weir.Answer
+	answer  *weir.Response
 	// copied records came from another replica. Which attempt they name says
 	// little, since replicas may hold the key for different ones, so that no
 	// attempt's "not run" frees them.
--- a/weir.go
+++ b/weir.go
@@ -70,8 +70,8 @@
 	Deadline time.Time `json:"deadline"`
 }
 
-// Answer is the outcome of one request.
-type Answer struct {
+// Response is the outcome of one request.
+type Response struct {
 	Kind        OutcomeKind `json:"kind"`
 	Reason      string      `json:"reason,omitempty"`
 	Status      int         `json:"status,omitempty"`
@@ -80,14 +80,14 @@
 }
 
 // NotRunResponse returns an answer that says the request did not run.
-func NotRunResponse(reason string) Answer { return Answer{Kind: NotRun, Reason: reason} }
+func NotRunResponse(reason string) Response { return Response{Kind: NotRun, Reason: reason} }
 
 // AnswerUnknown returns an answer that says the request may have run.
-func AnswerUnknown(reason string) Answer { return Answer{Kind: Unknown, Reason: reason} }
+func AnswerUnknown(reason string) Response { return Response{Kind: Unknown, Reason: reason} }
 
 // Dispatcher turns a request into exactly one answer.
 type Dispatcher interface {
-	Do(ctx context.Context, req Request) Answer
+	Do(ctx context.Context, req Request) Response
 }
 
 // Component is one long-running part of a process.
