--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -99,7 +99,7 @@
 	self := peer.Identity{ID: ec.ID, Role: "entry", Zone: ec.Zone}
 	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
-	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.Free}
+	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.FreeSlots}
 	pr.follower = &viewsync.Subscriber{
 		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
 	}
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Free returns the free slots of each service that others may use.
-func (tb *Table) Free() map[weir.ServiceName]int {
+// FreeSlots returns the free slots of each service that others may use.
+func (tb *Table) FreeSlots() map[weir.ServiceName]int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -175,7 +175,7 @@
 	}
 	lab := request(clk)
 	lab.Service = "lab"
-	require.Equal(t, 18, tb.Free()["lab"])
+	require.Equal(t, 18, tb.FreeSlots()["lab"])
 	var lent []*Slot
 	for {
 		slot, err := tb.TryAcquire(lab)
