--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -114,7 +114,7 @@
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
-		return ho.roster.Answer(in), nil
+		return ho.roster.HandleIntroduction(in), nil
 	case jobapi.CallMethod:
 		var in jobapi.Call
 		if err := call.Decode(&in); err != nil {
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -121,8 +121,8 @@
 	ro.leader = id
 }
 
-// Answer answers another process's question and learns of it.
-func (ro *Roster) Answer(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
+// HandleIntroduction answers another process's question and learns of it.
+func (ro *Roster) HandleIntroduction(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
 	if in.Replica {
 		ro.learn(in.ID)
