--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -187,7 +187,7 @@
 			continue
 		}
 		at := re.sessions[wk.ID]
-		if at == nil || at.ss.Failing() || wk.Draining {
+		if at == nil || at.ss.Unreachable() || wk.Draining {
 			continue // it serves nobody now
 		}
 		mc := balance.Machine{Name: name, Pool: wk.Pool}
--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -288,7 +288,7 @@
 	defer ow.mu.Unlock()
 	ow.attend(ctx, re, now)
 	for id, at := range re.sessions {
-		if at.dirty || (all && (at.ss.Failing() || now.Sub(at.reconciled) >= reconcileEvery)) {
+		if at.dirty || (all && (at.ss.Unreachable() || now.Sub(at.reconciled) >= reconcileEvery)) {
 			at.dirty, at.reconciled = false, now
 			ow.reconcile(re, id, at, now)
 		}
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -197,8 +197,8 @@
 	return !ss.basisSent.IsZero() && ss.failingAt.IsZero() && !ss.otherLife
 }
 
-// Failing reports whether the worker does not answer.
-func (ss *Session) Failing() bool {
+// Unreachable reports whether the worker does not answer.
+func (ss *Session) Unreachable() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return !ss.failingAt.IsZero()
