--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -161,8 +161,8 @@
 	return list
 }
 
-// Usage returns the reports that are not settled yet.
-func (tb *Table) Usage() []command.UsageReport {
+// PendingUsage returns the reports that are not settled yet.
+func (tb *Table) PendingUsage() []command.UsageReport {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	return tb.usage.pending()
