--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -366,7 +366,7 @@
 
 // reconcile records what became of the runs at one worker.
 func (ow *Scheduler) reconcile(re *reign, id weir.InstanceID, at *attended, now time.Time) {
-	if at.ss.Lapsed(now) {
+	if at.ss.LeaseExpired(now) {
 		ow.dropWorker(re, at, now)
 		return
 	}
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -128,7 +128,7 @@
 func (wd *world) reconcile(ix int, ft fate, logWorks bool) {
 	ss, now := wd.sessions[ix], wd.clk.Now()
 	id := wd.workers[ix].id
-	if ss.Lapsed(now) {
+	if ss.LeaseExpired(now) {
 		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Incarnation: 1}})
 		// It announces itself again, and gets a session of its own.
 		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -204,9 +204,9 @@
 	return !ss.failingAt.IsZero()
 }
 
-// Lapsed reports whether the worker does not answer and every lease that it
+// LeaseExpired reports whether the worker does not answer and every lease that it
 // was given has surely lapsed, so that nothing runs there any more.
-func (ss *Session) Lapsed(now time.Time) bool {
+func (ss *Session) LeaseExpired(now time.Time) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return !ss.failingAt.IsZero() && now.After(ss.lapsesBy)
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -86,11 +86,11 @@
 	for range 100 {
 		fw.clk.Advance(100 * time.Millisecond)
 		ss.renew(ctx)
-		if ss.Lapsed(fw.clk.Now()) {
+		if ss.LeaseExpired(fw.clk.Now()) {
 			break
 		}
 	}
-	require.True(t, ss.Lapsed(fw.clk.Now()), "renewals that are not answered must not put it off for ever")
+	require.True(t, ss.LeaseExpired(fw.clk.Now()), "renewals that are not answered must not put it off for ever")
 	slow := fw.answered + time.Duration(float64(fw.clock()-fw.answered)*clockSlack)
 	require.Greater(t, slow, fw.until, "also on a clock that is 2 % slow the lease is over")
 }
@@ -100,7 +100,7 @@
 	for range 100 {
 		ss.renew(context.Background())
 		fw.clk.Advance(time.Second)
-		require.False(t, ss.Lapsed(fw.clk.Now()))
+		require.False(t, ss.LeaseExpired(fw.clk.Now()))
 	}
 }
 
