--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 		return weir.NotRunResponse(err.Error())
 	}
 	if !dp.Store.InRange(dp.Clock.Now(), key) {
-		return weir.AnswerUnknown("the key's time is past retention or in the future")
+		return weir.UnknownResponse("the key's time is past retention or in the future")
 	}
 	home := key.Home(dp.zones())
 	for _, id := range dp.leaders(home, req.Key) {
@@ -118,7 +118,7 @@
 			return ans
 		}
 	}
-	return weir.AnswerUnknown("no entry instance of the key's home " + string(home) + " is reached")
+	return weir.UnknownResponse("no entry instance of the key's home " + string(home) + " is reached")
 }
 
 // callHome runs the request at another entry instance. It reports false where
@@ -132,7 +132,7 @@
 		return weir.Response{}, false
 	}
 	if err != nil {
-		return weir.AnswerUnknown("home " + id + " did not answer"), true
+		return weir.UnknownResponse("home " + id + " did not answer"), true
 	}
 	return ans, true
 }
@@ -224,7 +224,7 @@
 	case <-fl.done:
 		return fl.answer
 	case <-ctx.Done():
-		return weir.AnswerUnknown("a request with this key is still in flight")
+		return weir.UnknownResponse("a request with this key is still in flight")
 	}
 }
 
@@ -236,7 +236,7 @@
 	fl, ok := dp.flights[jo.Key]
 	dp.mu.Unlock()
 	if !ok || fl.attempt != jo.Attempt || !fl.won.Load() {
-		return weir.AnswerUnknown("the attempt is not in flight")
+		return weir.UnknownResponse("the attempt is not in flight")
 	}
 	return fl.wait(ctx)
 }
@@ -301,7 +301,7 @@
 		}
 		if next.Kind == weir.NotRun && ran {
 			// An earlier try may have run.
-			next = weir.AnswerUnknown(next.Reason)
+			next = weir.UnknownResponse(next.Reason)
 		}
 		ans = next
 		if ans.Kind == weir.Complete || (!again && !dp.mayRetry(req, ans)) {
@@ -365,7 +365,7 @@
 		dp.Mesh.Exhausted(id, req.Service)
 		return weir.Response{}, true
 	case err != nil:
-		return weir.AnswerUnknown("entry " + id + " did not answer"), false
+		return weir.UnknownResponse("entry " + id + " did not answer"), false
 	case ans.Kind == weir.NotRun && ans.Reason == ReasonNoSlot:
 		dp.Mesh.Exhausted(id, req.Service)
 		return weir.Response{}, true
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -63,7 +63,7 @@
 	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.NotRunResponse("endpoint not reached"), true
 	}
-	return weir.AnswerUnknown(err.Error()), false
+	return weir.UnknownResponse(err.Error()), false
 }
 
 func resultOf(status int) placement.Result {
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -114,7 +114,7 @@
 			return cl
 		}
 	}
-	ans := weir.AnswerUnknown(reason)
+	ans := weir.UnknownResponse(reason)
 	cl.Answer = &ans
 	// This attempt will not be dispatched, so what it was granted is freed.
 	go cl.record(weir.NotRunResponse("not claimed"))
--- a/weir.go
+++ b/weir.go
@@ -82,8 +82,8 @@
 // NotRunResponse returns an answer that says the request did not run.
 func NotRunResponse(reason string) Response { return Response{Kind: NotRun, Reason: reason} }
 
-// AnswerUnknown returns an answer that says the request may have run.
-func AnswerUnknown(reason string) Response { return Response{Kind: Unknown, Reason: reason} }
+// UnknownResponse returns an answer that says the request may have run.
+func UnknownResponse(reason string) Response { return Response{Kind: Unknown, Reason: reason} }
 
 // Dispatcher turns a request into exactly one answer.
 type Dispatcher interface {
