--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -168,8 +168,8 @@
 	return tb.usage.pending()
 }
 
-// Settle takes the leader's word on which reports are counted.
-func (tb *Table) Settle(marks []command.UsageAck) {
+// AcknowledgeUsage takes the leader's word on which reports are counted.
+func (tb *Table) AcknowledgeUsage(marks []command.UsageAck) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, mk := range marks {
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -92,5 +92,5 @@
 	rp.lastAt = now
 	rp.lastView = rep.View
 	rp.full = ans.WantFull
-	rp.Table.Settle(ans.Acked)
+	rp.Table.AcknowledgeUsage(ans.Acked)
 }
