--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -232,5 +232,5 @@
 	if _, ordered := rd.Order(at.worker.Machine); ordered {
 		return false
 	}
-	return at.ss.AtWork(key)
+	return at.ss.AtFullSpeed(key)
 }
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -223,9 +223,9 @@
 	return ss.last.recvAt, running
 }
 
-// AtWork reports whether the worker answers and lists a lasting task at full
+// AtFullSpeed reports whether the worker answers and lists a lasting task at full
 // work.
-func (ss *Session) AtWork(key weir.RunKey) bool {
+func (ss *Session) AtFullSpeed(key weir.RunKey) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return ss.failingAt.IsZero() && ss.last.running[key].Percent >= fullWork
