--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -43,7 +43,7 @@
 func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
 		ans, err := wk.Start(ctx, life, order)
-		if ans.Refusal == weir.RefusedRoom {
+		if ans.Refusal == weir.RefusedCapacity {
 			fl.refused.Add(1)
 		}
 		return ans, err
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -185,7 +185,7 @@
 		rn.Task = wk.Task(order)
 	}
 	if wk.Room != (spec.Resources{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
-		return weir.RefusedRoom
+		return weir.RefusedCapacity
 	}
 	wk.runs[order.RunKey] = rn
 	return weir.RefusedNone
--- a/task.go
+++ b/task.go
@@ -65,8 +65,8 @@
 	RefusedStale Refusal = "old run"
 	// RefusedLate says that the lease had passed on arrival.
 	RefusedLate Refusal = "late"
-	// RefusedRoom says that the worker has no room.
-	RefusedRoom Refusal = "no room"
+	// RefusedCapacity says that the worker has no room.
+	RefusedCapacity Refusal = "no room"
 	// RefusedTicket says that the adviser's permission is missing or expired.
 	RefusedTicket Refusal = "no ticket"
 	// RefusedUnwell says that the worker is not healthy.
