--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -130,8 +130,8 @@
 	return list
 }
 
-// Resend marks instances whose status did not reach the leader.
-func (tb *Table) Resend(list []command.Status) {
+// RequeueStatuses marks instances whose status did not reach the leader.
+func (tb *Table) RequeueStatuses(list []command.Status) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, sta := range list {
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	var ans peerapi.ReportResponse
 	if err := rp.Control.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
-		rp.Table.Resend(rep.Statuses)
+		rp.Table.RequeueStatuses(rep.Statuses)
 		rp.full = true
 		_ = rp.Logger.Log("level", "debug", "msg", "report not delivered", "err", err.Error())
 		return
