--- a/internal/job/scheduler/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -94,7 +94,7 @@
 	for _, key := range filling {
 		sent, ok := pc.sent[key]
 		if (!ok && pc.percent != paceFull) || (ok && sent != pc.percent) {
-			at.ss.Pace(key, pc.percent)
+			at.ss.Throttle(key, pc.percent)
 		}
 		pc.sent[key] = pc.percent
 	}
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// Pace orders the share at which a run works.
-func (ss *Session) Pace(key weir.RunKey, percent int) {
+// Throttle orders the share at which a run works.
+func (ss *Session) Throttle(key weir.RunKey, percent int) {
 	ss.queue(func(ctx context.Context) {
 		if !ss.Leadership.Leads() {
 			return
