--- a/task.go
+++ b/task.go
@@ -69,8 +69,8 @@
 	RefusedCapacity Refusal = "no room"
 	// RefusedTicket says that the adviser's permission is missing or expired.
 	RefusedTicket Refusal = "no ticket"
-	// RefusedUnwell says that the worker is not healthy.
-	RefusedUnwell Refusal = "not healthy"
+	// RefusedUnhealthy says that the worker is not healthy.
+	RefusedUnhealthy Refusal = "not healthy"
 	// RefusedLife says that another life of the worker answered.
 	RefusedLife Refusal = "another life"
 	// RefusedInvalid says that the worker cannot read the order.
