--- a/internal/entry/ledger/recover.go
+++ b/internal/entry/ledger/recover.go
@@ -51,7 +51,7 @@
 		case <-time.After(recoverPause):
 		}
 	}
-	rc.Store.Lower(highest(floors))
+	rc.Store.LowerFloor(highest(floors))
 	_ = rc.Logger.Log("level", "info", "msg", "ledger recovered", "keys", rc.Store.Stats().Keys)
 	return nil
 }
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -207,9 +207,9 @@
 	}
 }
 
-// Lower sets the floor after the records of all other replicas were loaded;
+// LowerFloor sets the floor after the records of all other replicas were loaded;
 // it never rises.
-func (st *Store) Lower(floor time.Time) {
+func (st *Store) LowerFloor(floor time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if floor.Before(st.floor) {
