--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -147,7 +147,7 @@
 	st := ap.Service.Node.Status()
 	ans := operator.StatusResponse{Leader: st.Leader}
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
-		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.Moves()
+		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.CompletedMoves()
 	})
 	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
 		ans.Demand = append(ans.Demand, dm)
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -176,7 +176,7 @@
 	require.True(t, serves)
 	require.Equal(t, weir.ServiceName("lab"), service)
 	be.refused(command.RefusedWrongState, be.consent("n0", 1, 1, since, "e1"))
-	be.mc.Read(func(rd Reader) { require.Equal(t, uint64(1), rd.Moves()) })
+	be.mc.Read(func(rd Reader) { require.Equal(t, uint64(1), rd.CompletedMoves()) })
 }
 
 func TestMoveThatLostItsPoint(t *testing.T) {
--- a/internal/fleet/fsm/reader.go
+++ b/internal/fleet/fsm/reader.go
@@ -44,8 +44,8 @@
 // Statuses returns what is known of all instances.
 func (rd Reader) Statuses() map[weir.InstanceID]command.Status { return rd.st.Statuses }
 
-// Moves returns how many moves between pools were completed.
-func (rd Reader) Moves() uint64 { return rd.st.Moves }
+// CompletedMoves returns how many moves between pools were completed.
+func (rd Reader) CompletedMoves() uint64 { return rd.st.Moves }
 
 // Processes returns the zones of the entry instances that are known.
 func (rd Reader) Processes() map[string]weir.Zone { return rd.st.Processes }
