--- a/internal/task/session/decide.go
+++ b/internal/task/session/decide.go
@@ -34,7 +34,7 @@
 	switch {
 	case rn.dropped:
 		return verdictRefused
-	case rn.refusal == weir.RefusedLife || rn.refusal == weir.RefusedFenced:
+	case rn.refusal == weir.RefusedIncarnation || rn.refusal == weir.RefusedFenced:
 		// The order was for a life or a leader that is no more; what follows
 		// from that is decided elsewhere.
 		return verdictWait
--- a/internal/task/session/decide_test.go
+++ b/internal/task/session/decide_test.go
@@ -35,7 +35,7 @@
 		"stop confirmed before the report":       {run{stopAcked: ago(20)}, whole, false, true, verdictLost},
 		"stop confirmed after the report":        {run{stopAcked: ago(5)}, whole, false, true, verdictStop},
 		"refused":                                {run{refusal: weir.RefusedCapacity}, whole, false, true, verdictRefused},
-		"answered by another life":               {run{refusal: weir.RefusedLife}, whole, false, true, verdictWait},
+		"answered by another life":               {run{refusal: weir.RefusedIncarnation}, whole, false, true, verdictWait},
 		"never sent":                             {run{dropped: true}, report{}, false, true, verdictRefused},
 		"cancelled while its start is under way": {run{sentAt: ago(100)}, whole, false, false, verdictStop},
 	}
--- a/task.go
+++ b/task.go
@@ -71,8 +71,8 @@
 	RefusedTicket Refusal = "no ticket"
 	// RefusedUnhealthy says that the worker is not healthy.
 	RefusedUnhealthy Refusal = "not healthy"
-	// RefusedLife says that another life of the worker answered.
-	RefusedLife Refusal = "another life"
+	// RefusedIncarnation says that another life of the worker answered.
+	RefusedIncarnation Refusal = "another life"
 	// RefusedInvalid says that the worker cannot read the order.
 	RefusedInvalid Refusal = "invalid"
 )
