--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -173,7 +173,7 @@
 		return errors.New("stopping")
 	case pr.follower.View().Index == 0:
 		return errors.New("no configuration yet")
-	case !pr.store.Settled(pr.clk.Now()):
+	case !pr.store.AcceptsNewKeys(pr.clk.Now()):
 		return errors.New("ledger has not caught up")
 	}
 	return nil
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// Settled reports whether every key that is made now is above the floor.
-func (st *Store) Settled(now time.Time) bool {
+// AcceptsNewKeys reports whether every key that is made now is above the floor.
+func (st *Store) AcceptsNewKeys(now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return now.After(st.floor)
