--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -98,7 +98,7 @@
 	api := &operatorapi.API{Service: sv}
 	dump := func() any {
 		st := controlState{Log: nd.Status(), Subscribers: hb.Subscribers()}
-		mc.Read(func(rd fsm.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.Number(), rd.Pools() })
+		mc.Read(func(rd fsm.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.ConfigNumber(), rd.Pools() })
 		return st
 	}
 	ready := func() error {
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -131,7 +131,7 @@
 func (ap *API) config(context.Context, echo.Context) (any, error) {
 	var ans operator.ConfigResponse
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
-		ans = operator.ConfigResponse{Number: rd.Number(), Config: rd.Config()}
+		ans = operator.ConfigResponse{Number: rd.ConfigNumber(), Config: rd.Config()}
 	})
 	ans.Checksum = ans.Config.Checksum()
 	return ans, nil
@@ -147,7 +147,7 @@
 	st := ap.Service.Node.Status()
 	ans := operator.StatusResponse{Leader: st.Leader}
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
-		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.CompletedMoves()
+		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.ConfigNumber(), rd.Pools(), rd.CompletedMoves()
 	})
 	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
 		ans.Demand = append(ans.Demand, dm)
--- a/internal/fleet/fsm/reader.go
+++ b/internal/fleet/fsm/reader.go
@@ -29,8 +29,8 @@
 // EffectIndex returns the index of the last effect on views.
 func (rd Reader) EffectIndex() uint64 { return rd.st.EffectIndex }
 
-// Number returns the number of the configuration in force.
-func (rd Reader) Number() uint64 { return rd.st.Number }
+// ConfigNumber returns the number of the configuration in force.
+func (rd Reader) ConfigNumber() uint64 { return rd.st.Number }
 
 // Config returns the configuration in force.
 func (rd Reader) Config() model.Config { return rd.st.Config }
