--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -108,7 +108,7 @@
 	if !dp.Store.InRange(dp.Clock.Now(), key) {
 		return weir.UnknownResponse("the key's time is past retention or in the future")
 	}
-	home := key.Home(dp.zones())
+	home := key.HomeZone(dp.zones())
 	for _, id := range dp.leaders(home, req.Key) {
 		if id == dp.Self {
 			return dp.RunKeyed(ctx, req)
@@ -246,7 +246,7 @@
 	if err != nil {
 		return weir.NotRunResponse(err.Error())
 	}
-	claim := dp.group(key.Home(dp.zones())).Claim(ctx, req.Key, fl.attempt)
+	claim := dp.group(key.HomeZone(dp.zones())).Claim(ctx, req.Key, fl.attempt)
 	if claim.Won {
 		fl.won.Store(true)
 		ans := dp.place(ctx, req)
--- a/internal/entry/ledger/key.go
+++ b/internal/entry/ledger/key.go
@@ -61,9 +61,9 @@
 // Ravishankar, 1998): the highest rank is the first choice.
 func Rank(key, candidate string) uint64 { return xxhash.Sum64String(candidate + "\x00" + key) }
 
-// Home returns the zone that keeps the key's record: its mark, or for a key
+// HomeZone returns the zone that keeps the key's record: its mark, or for a key
 // without one the first choice by rendezvous hashing.
-func (ke Key) Home(zones []weir.Zone) weir.Zone {
+func (ke Key) HomeZone(zones []weir.Zone) weir.Zone {
 	var best weir.Zone
 	var bestRank uint64
 	for _, zone := range zones {
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -109,14 +109,14 @@
 	require.NoError(t, err)
 	key, err := ParseKey(marked)
 	require.NoError(t, err)
-	require.Equal(t, weir.Zone("c"), key.Home(zones))
+	require.Equal(t, weir.Zone("c"), key.HomeZone(zones))
 	counts := map[weir.Zone]int{}
 	for range 4000 {
 		text, err := NewKey("", origin)
 		require.NoError(t, err)
 		plain, err := ParseKey(text[1:])
 		require.NoError(t, err)
-		counts[plain.Home(zones)]++
+		counts[plain.HomeZone(zones)]++
 	}
 	for _, zone := range zones {
 		require.InDelta(t, 1000, counts[zone], 200, "keys without a mark spread evenly")
