--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -110,7 +110,7 @@
 	return []weir.Component{
 		mbl,
 		nd,
-		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, OnDisconnect: hb.Gone, Logger: kt.logger},
+		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, OnDisconnect: hb.Unsubscribe, Logger: kt.logger},
 		&reconcile.Reconciler{
 			Machine: mc, Registry: rg, Platform: &platform.Client{Addrs: cc.platforms}, Clock: clk,
 			Logger: kt.logger, IsLeader: sv.Leads, Propose: sv.Propose,
--- a/internal/control/hub/hub.go
+++ b/internal/control/hub/hub.go
@@ -90,8 +90,8 @@
 	go hb.feed(ctx, sub)
 }
 
-// Gone ends the subscription of a link.
-func (hb *Hub) Gone(conn *jsonrpc2.Conn) {
+// Unsubscribe ends the subscription of a link.
+func (hb *Hub) Unsubscribe(conn *jsonrpc2.Conn) {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
 	if sub, ok := hb.subs[conn]; ok {
@@ -113,7 +113,7 @@
 		case <-ctx.Done():
 			return
 		case <-sub.conn.DisconnectNotify():
-			hb.Gone(sub.conn)
+			hb.Unsubscribe(sub.conn)
 			return
 		case <-sub.wake:
 		}
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -16,7 +16,7 @@
 func (ms *measurer) feed(listeners, effects int) (cpuEach, millisAll float64) {
 	hb := hub.New()
 	hb.View = func() view.View { return view.View{} }
-	sv := &peer.Server{Addr: "127.0.0.1:0", Token: "token-of-the-slopes", OnDisconnect: hb.Gone}
+	sv := &peer.Server{Addr: "127.0.0.1:0", Token: "token-of-the-slopes", OnDisconnect: hb.Unsubscribe}
 	sv.Handle = func(ctx context.Context, call peer.Call) (any, error) {
 		hb.Subscribe(context.WithoutCancel(ctx), call.Conn, 0)
 		return struct{}{}, nil
