--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -172,7 +172,7 @@
 	case order.Run <= wk.last[order.Task]:
 		ans.Refusal = weir.RefusedStale
 	case now.After(wk.origin.Add(order.Until)):
-		ans.Refusal = weir.RefusedLate
+		ans.Refusal = weir.RefusedLeaseExpired
 	default:
 		ans.Refusal = wk.begin(now, order)
 	}
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -164,7 +164,7 @@
 		case order.Run <= mw.last[order.Task]:
 			ans.Refusal = weir.RefusedStale
 		case order.Until < mw.clock(now):
-			ans.Refusal = weir.RefusedLate
+			ans.Refusal = weir.RefusedLeaseExpired
 		default:
 			wd.begins(mw, order.RunKey)
 			mw.runs[order.RunKey] = true
--- a/task.go
+++ b/task.go
@@ -63,8 +63,8 @@
 	RefusedFenced Refusal = "fenced"
 	// RefusedStale says that this or a later run was stopped or has ended there.
 	RefusedStale Refusal = "old run"
-	// RefusedLate says that the lease had passed on arrival.
-	RefusedLate Refusal = "late"
+	// RefusedLeaseExpired says that the lease had passed on arrival.
+	RefusedLeaseExpired Refusal = "late"
 	// RefusedCapacity says that the worker has no room.
 	RefusedCapacity Refusal = "no room"
 	// RefusedTicket says that the adviser's permission is missing or expired.
