--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -113,7 +113,7 @@
 		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, OnDisconnect: hb.Unsubscribe, Logger: kt.logger},
 		&reconcile.Reconciler{
 			Machine: mc, Registry: rg, Platform: &platform.Client{Addrs: cc.platforms}, Clock: clk,
-			Logger: kt.logger, IsLeader: sv.Leads, Propose: sv.Propose,
+			Logger: kt.logger, IsLeader: sv.IsLeader, Propose: sv.Propose,
 		},
 		&ops.Server{
 			Addr: cc.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -13,7 +13,7 @@
 
 // Report takes an entry instance's report, here or at the leader.
 func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportResponse, error) {
-	if !sv.Leads() {
+	if !sv.IsLeader() {
 		var ans peerapi.ReportResponse
 		err := sv.atLeader(ctx, peerapi.EntryReport, rep, &ans)
 		return ans, err
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -84,12 +84,12 @@
 	return nil, peer.MethodNotFound(call.Method)
 }
 
-// Leads reports whether this process is the leader as far as it knows.
-func (sv *Service) Leads() bool { return sv.Node.Status().Role == replica.Leader }
+// IsLeader reports whether this process is the leader as far as it knows.
+func (sv *Service) IsLeader() bool { return sv.Node.Status().Role == replica.Leader }
 
 // Propose commits a command, here or at the leader.
 func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Result, error) {
-	if sv.Leads() {
+	if sv.IsLeader() {
 		return sv.proposeHere(ctx, cmd)
 	}
 	var ans command.Result
@@ -124,7 +124,7 @@
 // Processes returns the state of the roll-out as the leader knows it.
 func (sv *Service) Processes(ctx context.Context) ([]peerapi.EntryProcess, error) {
 	var list []peerapi.EntryProcess
-	if !sv.Leads() {
+	if !sv.IsLeader() {
 		err := sv.atLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
 		return list, err
 	}
