--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -47,8 +47,8 @@
 	rg.since = now
 }
 
-// Heard takes a report and tells whether a full one is wanted.
-func (rg *Registry) Heard(now time.Time, rep peerapi.Report) bool {
+// RecordReport takes a report and tells whether a full one is wanted.
+func (rg *Registry) RecordReport(now time.Time, rep peerapi.Report) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	en, ok := rg.entries[rep.Entry]
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -19,7 +19,7 @@
 		return ans, err
 	}
 	now := sv.Clock.Now()
-	ans := peerapi.ReportResponse{WantFull: sv.Registry.Heard(now, rep)}
+	ans := peerapi.ReportResponse{WantFull: sv.Registry.RecordReport(now, rep)}
 	if err := sv.register(ctx, rep, now); err != nil {
 		return ans, err
 	}
