--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -82,10 +82,10 @@
 	EndFailed EndReason = "failed"
 	// EndStopped, EndLapsed, EndBroken and EndAlone are a worker's words for
 	// runs that ended through no fault of the task.
-	EndStopped EndReason = "stopped"
-	EndLapsed  EndReason = "lapsed"
-	EndBroken  EndReason = "broken"
-	EndAlone   EndReason = "alone"
+	EndStopped      EndReason = "stopped"
+	EndLeaseExpired EndReason = "lapsed"
+	EndBroken       EndReason = "broken"
+	EndAlone        EndReason = "alone"
 	// EndLost says that the run is surely over and has left no end.
 	EndLost EndReason = "lost"
 	// EndRefused says that the worker refused to start it.
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -124,7 +124,7 @@
 			wk.end(now, key, store.EndDone, "")
 			wk.done[key.Task]++
 		case now.After(wk.until):
-			wk.end(now, key, store.EndLapsed, "")
+			wk.end(now, key, store.EndLeaseExpired, "")
 		}
 	}
 	return now
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -58,7 +58,7 @@
 	}
 	mw.stale = mw.number
 	for key := range mw.runs {
-		mw.end(key, store.EndLapsed)
+		mw.end(key, store.EndLeaseExpired)
 	}
 }
 
