--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -109,7 +109,7 @@
 func (rc *Reconciler) silent(rd fsm.Reader, now time.Time) []command.Status {
 	var list []command.Status
 	for _, sta := range rd.Statuses() {
-		if sta.Up && !rc.Registry.IsHeard(now, sta.Entry) {
+		if sta.Up && !rc.Registry.IsReporting(now, sta.Entry) {
 			sta.Up = false
 			list = append(list, sta)
 		}
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -62,9 +62,9 @@
 	return !en.full
 }
 
-// IsHeard reports whether an entry instance reports. While a leader is new,
+// IsReporting reports whether an entry instance reports. While a leader is new,
 // all count as heard.
-func (rg *Registry) IsHeard(now time.Time, id string) bool {
+func (rg *Registry) IsReporting(now time.Time, id string) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	if now.Sub(rg.since) < ReportTimeout {
