--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -60,8 +60,8 @@
 // Pool is a set of instances that run the tasks of queues.
 type Pool struct {
 	Name weir.PoolName `json:"name"`
-	// Guards says that the workers refuse what does not fit.
-	Guards bool `json:"guards"`
+	// EnforcesCapacity says that the workers refuse what does not fit.
+	EnforcesCapacity bool `json:"guards"`
 	// Standby pools hold instances that are off.
 	Standby bool `json:"standby"`
 }
--- a/internal/config/catalog/packed_test.go
+++ b/internal/config/catalog/packed_test.go
@@ -10,7 +10,7 @@
 )
 
 func manyQueues(count int) Catalog {
-	ct := Catalog{Version: 7, Pools: []Pool{{Name: "desk", Guards: true}, {Name: "spare", Standby: true}}}
+	ct := Catalog{Version: 7, Pools: []Pool{{Name: "desk", EnforcesCapacity: true}, {Name: "spare", Standby: true}}}
 	var text strings.Builder
 	for ix := range count {
 		ct.Queues = append(ct.Queues, Queue{
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -162,7 +162,7 @@
 func (ld Load) catalog() *catalog.Catalog {
 	ct := &catalog.Catalog{Version: 1, Document: []byte("{}"), Pools: []catalog.Pool{{Name: standby, Standby: true}}}
 	for _, po := range ld.Pools {
-		ct.Pools = append(ct.Pools, catalog.Pool{Name: po.Name, Guards: true})
+		ct.Pools = append(ct.Pools, catalog.Pool{Name: po.Name, EnforcesCapacity: true})
 		ct.Queues = append(ct.Queues, catalog.Queue{
 			Name: string(po.Name), Host: "play", Prefix: "/" + string(po.Name) + "/", Pool: po.Name, Timeout: 3 * time.Second,
 			Target: ld.Target, Stretch: ld.Stretch, Priority: po.Priority, MaxAttempts: 3,
