--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -45,11 +45,11 @@
 	Pool   weir.PoolName `json:"pool"`
 	// Timeout bounds one call of a caller.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the latency that callers want on top of the stretched work.
-	Target      time.Duration `json:"target"`
-	Stretch     float64       `json:"stretch"`
-	Priority    int           `json:"priority"`
-	MaxAttempts int           `json:"maxAttempts"`
+	// TargetLatency is the latency that callers want on top of the stretched work.
+	TargetLatency time.Duration `json:"target"`
+	Stretch       float64       `json:"stretch"`
+	Priority      int           `json:"priority"`
+	MaxAttempts   int           `json:"maxAttempts"`
 	// Advice is set where an adviser names the workers of a step.
 	Advice *Advice `json:"advice,omitempty"`
 }
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -78,7 +78,7 @@
 	for _, qu := range ct.Queues {
 		queue := catalog.Queue{
 			Name: qu.Name, Host: host, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
-			Target: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
+			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
 		if ad := qu.Advice; ad != nil {
 			queue.Advice = &catalog.Advice{
--- a/internal/job/scheduler/owner_test.go
+++ b/internal/job/scheduler/owner_test.go
@@ -72,7 +72,7 @@
 		{Count: 1, Estimate: 2 * time.Second, After: []int{0}},
 		{Count: 1, Estimate: 500 * time.Millisecond},
 	}}
-	qu := catalog.Queue{Target: 600 * time.Millisecond, Stretch: 2}
+	qu := catalog.Queue{TargetLatency: 600 * time.Millisecond, Stretch: 2}
 	// The chain is 3 s, the objective 6.6 s.
 	require.Equal(t, after(3600), startBy(jb, testNow, qu, 0, 0))
 	require.Equal(t, after(4600), startBy(jb, testNow, qu, 0, 1))
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -243,7 +243,7 @@
 			rest[before] = max(rest[before], rest[ix])
 		}
 	}
-	objective := due.Add(qu.Target + time.Duration(qu.Stretch*float64(longest)))
+	objective := due.Add(qu.TargetLatency + time.Duration(qu.Stretch*float64(longest)))
 	return objective.Add(-rest[sp])
 }
 
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -165,7 +165,7 @@
 		ct.Pools = append(ct.Pools, catalog.Pool{Name: po.Name, EnforcesCapacity: true})
 		ct.Queues = append(ct.Queues, catalog.Queue{
 			Name: string(po.Name), Host: "play", Prefix: "/" + string(po.Name) + "/", Pool: po.Name, Timeout: 3 * time.Second,
-			Target: ld.Target, Stretch: ld.Stretch, Priority: po.Priority, MaxAttempts: 3,
+			TargetLatency: ld.Target, Stretch: ld.Stretch, Priority: po.Priority, MaxAttempts: 3,
 		})
 	}
 	return ct
