--- a/cmd/weirctl/job.go
+++ b/cmd/weirctl/job.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		if ans.Phase.Over() {
+		if ans.Phase.Terminal() {
 			fmt.Printf("job %s is %s after %s\n", js.ID, ans.Phase, time.Since(begin).Round(10*time.Millisecond))
 			if ans.Phase != store.Done {
 				return errors.Errorf("job is %s", ans.Phase)
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -292,7 +292,7 @@
 		switch {
 		case failed != nil:
 			rep = failed
-		case js.Phase.Over():
+		case js.Phase.Terminal():
 			rep = &jobapi.Reply{Outcome: jobapi.OK, Phase: js.Phase}
 		default:
 			id = js.Spec.ID
--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -133,7 +133,7 @@
 	})
 	rd.EachActive(func(js *store.JobState) {
 		qu, ok := rd.Queue(js.Spec.Queue)
-		if !ok || js.Phase.Over() {
+		if !ok || js.Phase.Terminal() {
 			return
 		}
 		ld := loads[qu.Pool]
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -47,7 +47,7 @@
 	ow.Store.Read(func(rd store.Reader) {
 		for _, en := range ends {
 			js := rd.Job(en.Task.Job)
-			if js == nil || !js.Phase.Over() || told[en.Task.Job] {
+			if js == nil || !js.Phase.Terminal() || told[en.Task.Job] {
 				continue
 			}
 			told[en.Task.Job] = true
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -95,7 +95,7 @@
 func (ow *Scheduler) order(re *reign, rd store.Reader, pl placement.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
-	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Over() {
+	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Terminal() {
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
@@ -122,7 +122,7 @@
 func (ow *Scheduler) demand(rd store.Reader) []demanded {
 	var out []demanded
 	rd.EachActive(func(js *store.JobState) {
-		if js.Phase.Over() || !js.Unplaced() {
+		if js.Phase.Terminal() || !js.Unplaced() {
 			return
 		}
 		if qu, ok := rd.Queue(js.Spec.Queue); ok {
--- a/internal/job/scheduler/progress.go
+++ b/internal/job/scheduler/progress.go
@@ -96,7 +96,7 @@
 				}
 				js := rd.Job(rt.Task.Job)
 				step := js.Spec.Steps[rt.Task.Step]
-				if js.Phase.Over() || step.LongRunning || step.Gang {
+				if js.Phase.Terminal() || step.LongRunning || step.Gang {
 					continue
 				}
 				pg := re.watched[rt.RunKey].seen(rt.Percent, arrived)
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -193,7 +193,7 @@
 	steps := map[weir.TaskRef]int{}
 	for key := range rd.Runs(id) {
 		js := rd.Job(key.Task.Job)
-		if !js.Phase.Over() && js.Spec.Steps[key.Task.Step].MaxUnavailable > 0 {
+		if !js.Phase.Terminal() && js.Spec.Steps[key.Task.Step].MaxUnavailable > 0 {
 			steps[key.Task.StepRef()]++
 		}
 	}
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -78,7 +78,7 @@
 func (rd Reader) Expired(before time.Time, limit int) []spec.JobID {
 	var ids []spec.JobID
 	for id, js := range rd.st.Jobs {
-		if js.Phase.Over() && js.Placed == 0 && js.Ended.Before(before) {
+		if js.Phase.Terminal() && js.Placed == 0 && js.Ended.Before(before) {
 			ids = append(ids, id)
 			if len(ids) == limit {
 				break
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -21,8 +21,8 @@
 	Cancelled Phase = "cancelled"
 )
 
-// Over reports whether the job has ended.
-func (ph Phase) Over() bool { return ph == Done || ph == Failed || ph == Cancelled }
+// Terminal reports whether the job has ended.
+func (ph Phase) Terminal() bool { return ph == Done || ph == Failed || ph == Cancelled }
 
 // Task is what is known of one task.
 type Task struct {
@@ -230,7 +230,7 @@
 }
 
 func (st *state) addToQueue(js *JobState) {
-	if js.Started || js.Phase.Over() {
+	if js.Started || js.Phase.Terminal() {
 		return
 	}
 	jobs := st.ByQueue[js.Spec.Queue]
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -207,7 +207,7 @@
 	if js == nil {
 		return refused("unknown job")
 	}
-	if !js.Phase.Over() {
+	if !js.Phase.Terminal() {
 		st.end(at, js, Cancelled)
 	}
 	return taken
@@ -224,7 +224,7 @@
 // settle drops what is not needed once a job has ended and nothing of it is
 // at a worker.
 func (st *state) settle(js *JobState) {
-	if !js.Phase.Over() || js.Placed > 0 {
+	if !js.Phase.Terminal() || js.Placed > 0 {
 		return
 	}
 	js.Occurrences = nil
@@ -235,7 +235,7 @@
 
 func (st *state) applyForget(ids []spec.JobID) Result {
 	for _, id := range ids {
-		if js := st.Jobs[id]; js != nil && js.Phase.Over() && js.Placed == 0 {
+		if js := st.Jobs[id]; js != nil && js.Phase.Terminal() && js.Placed == 0 {
 			delete(st.Jobs, id)
 		}
 	}
@@ -244,7 +244,7 @@
 
 func (st *state) applyStart(at time.Time, sa *RunStart) Result {
 	js := st.Jobs[sa.Task.Job]
-	if js == nil || js.Phase.Over() {
+	if js == nil || js.Phase.Terminal() {
 		return refused("job is over")
 	}
 	tk := js.Task(sa.Task)
@@ -319,7 +319,7 @@
 	tk.FailedRun = en.Run
 	tk.Failures++
 	qu, ok := st.Queues[js.Spec.Queue]
-	if ok && tk.Failures >= max(qu.MaxAttempts, 1) && !js.Phase.Over() {
+	if ok && tk.Failures >= max(qu.MaxAttempts, 1) && !js.Phase.Terminal() {
 		st.end(at, js, Failed)
 	}
 }
@@ -349,7 +349,7 @@
 		}
 	}
 	js.OccurrencesLeft--
-	if js.OccurrencesLeft == 0 && !js.Phase.Over() {
+	if js.OccurrencesLeft == 0 && !js.Phase.Terminal() {
 		st.end(at, js, Done)
 	}
 }
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -47,7 +47,7 @@
 	var tk store.Task
 	var over bool
 	wd.st.Read(func(rd store.Reader) {
-		over = rd.Job("a").Phase.Over()
+		over = rd.Job("a").Phase.Terminal()
 		if found := rd.Job("a").Task(exploredTask); found != nil {
 			tk = *found
 		}
@@ -139,7 +139,7 @@
 	wd.st.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			js := rd.Job(key.Task.Job)
-			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Over() && !js.Task(key.Task).Done})
+			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Terminal() && !js.Task(key.Task).Done})
 		}
 	})
 	out := ss.Reconcile(now, placed)
