--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -38,8 +38,8 @@
 	retryUnavailable = time.Second
 )
 
-// Lead tells who leads.
-type Lead interface {
+// LeaderTracker tells who leads.
+type LeaderTracker interface {
 	// LeaderID returns the process that leads, "" where none is known.
 	LeaderID() string
 }
@@ -50,7 +50,7 @@
 	Store     *store.Store
 	Committer *scheduler.Committer
 	Owner     *scheduler.Scheduler
-	Lead      Lead
+	Lead      LeaderTracker
 	Links     *links.Links
 	Clock     weir.Clock
 	Wall      weir.Clock
