--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -86,7 +86,7 @@
 	}
 	str.OnApplied = own.Wake
 	ho.service = &handler.Handler{
-		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
+		Self: self.ID, Store: str, Committer: com, Owner: own, Leader: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ho.steps = []weir.Component{
 		lks, ho.node, com, own, ho.roster,
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -50,7 +50,7 @@
 	Store     *store.Store
 	Committer *scheduler.Committer
 	Owner     *scheduler.Scheduler
-	Lead      LeaderTracker
+	Leader    LeaderTracker
 	Links     *links.Links
 	Clock     weir.Clock
 	Wall      weir.Clock
@@ -107,7 +107,7 @@
 
 // follows reports whether this process follows a leader that it hears.
 func (sv *Handler) follows() bool {
-	leader := sv.Lead.LeaderID()
+	leader := sv.Leader.LeaderID()
 	return leader != "" && leader != sv.Self
 }
 
@@ -130,7 +130,7 @@
 			rep.Leader = sv.Self
 			return rep
 		}
-		leader := sv.Lead.LeaderID()
+		leader := sv.Leader.LeaderID()
 		if leader != "" && leader != sv.Self && call.Hops < maxHops {
 			rep, sent := sv.forward(ctx, leader, call)
 			if sent {
