--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -182,14 +182,14 @@
 	work := 0.0
 	for sp, ss := range js.Occurrences[oc] {
 		step := js.Spec.Steps[sp]
-		work += float64(ss.Left*step.Resources.MilliCPU) / 1000 * step.Estimate.Seconds()
+		work += float64(ss.TasksLeft*step.Resources.MilliCPU) / 1000 * step.Estimate.Seconds()
 	}
 	return work
 }
 
 func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (placement.Group, bool) {
 	ss := &js.Occurrences[oc][sp]
-	if ss.Left == 0 || !js.StepReady(oc, sp) {
+	if ss.TasksLeft == 0 || !js.StepReady(oc, sp) {
 		return placement.Group{}, false
 	}
 	step := js.Spec.Steps[sp]
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -49,8 +49,8 @@
 // StepState holds the tasks of one step of one occurrence.
 type StepState struct {
 	Tasks []Task `json:"t"`
-	// Left counts the tasks that are not done.
-	Left int `json:"l"`
+	// TasksLeft counts the tasks that are not done.
+	TasksLeft int `json:"l"`
 }
 
 // JobState is what is known of one job.
@@ -121,7 +121,7 @@
 			if js.Spec.Steps[sp].Gang {
 				return true // members that are placed may be done
 			}
-			left += round[sp].Left
+			left += round[sp].TasksLeft
 		}
 	}
 	return left > js.Placed
@@ -130,7 +130,7 @@
 // StepReady reports whether all steps before a step are done.
 func (js *JobState) StepReady(occurrence, step int) bool {
 	for _, before := range js.Spec.Steps[step].After {
-		if js.Occurrences[occurrence][before].Left > 0 {
+		if js.Occurrences[occurrence][before].TasksLeft > 0 {
 			return false
 		}
 	}
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -193,7 +193,7 @@
 	for oc := range js.Occurrences {
 		js.Occurrences[oc] = make([]StepState, len(jb.Steps))
 		for sp, step := range jb.Steps {
-			js.Occurrences[oc][sp] = StepState{Tasks: make([]Task, step.Count), Left: step.Count}
+			js.Occurrences[oc][sp] = StepState{Tasks: make([]Task, step.Count), TasksLeft: step.Count}
 		}
 	}
 	st.Jobs[jb.ID] = js
@@ -337,14 +337,14 @@
 		for ix := range ss.Tasks {
 			ss.Tasks[ix].Done = true
 		}
-		ss.Left = 0
+		ss.TasksLeft = 0
 	} else {
 		tk.Done = true
 		tk.Checkpoint = ""
-		ss.Left--
+		ss.TasksLeft--
 	}
 	for _, other := range js.Occurrences[rf.Occurrence] {
-		if other.Left > 0 {
+		if other.TasksLeft > 0 {
 			return
 		}
 	}
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -334,7 +334,7 @@
 					key := RunKey{Task: spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
 					require.Contains(t, st.Runs[tk.Worker], key)
 				}
-				require.Equal(t, left, round[sp].Left)
+				require.Equal(t, left, round[sp].TasksLeft)
 			}
 		}
 		require.Equal(t, count, js.Placed)
