--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -124,7 +124,7 @@
 		return worker.Stop(ctx, req.Life, req.Key, req.Token)
 	}))
 	ech.POST(pacePath, serve(func(ctx context.Context, req request) (any, error) {
-		return worker.Pace(ctx, req.Life, req.Key, req.Percent, req.Token)
+		return worker.Throttle(ctx, req.Life, req.Key, req.Percent, req.Token)
 	}))
 	ech.POST(leasePath, serve(func(ctx context.Context, req request) (any, error) {
 		if req.Renew == nil {
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -115,7 +115,7 @@
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		if _, err := ss.Workers.Pace(callCtx, ss.Worker, key, percent, ss.Token); err != nil {
+		if _, err := ss.Workers.Throttle(callCtx, ss.Worker, key, percent, ss.Token); err != nil {
 			_ = ss.Logger.Log("level", "warn", "msg", "pace not confirmed", "task", key.Task, "run", key.Run,
 				"worker", ss.Worker.ID, "percent", percent, "err", err)
 		}
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -242,8 +242,8 @@
 	})
 }
 
-// Pace implements weir.TaskWorkers.
-func (*world) Pace(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderResponse, error) {
+// Throttle implements weir.TaskWorkers.
+func (*world) Throttle(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderResponse, error) {
 	return weir.OrderResponse{}, errSilent
 }
 
--- a/task.go
+++ b/task.go
@@ -133,8 +133,8 @@
 	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderResponse, error)
 	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
 	Renew(ctx context.Context, life WorkerIncarnation, order RenewOrder) (WorkerReport, error)
-	// Pace lets a run work at a share of its speed, from 0 to 100 percent.
-	Pace(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
+	// Throttle lets a run work at a share of its speed, from 0 to 100 percent.
+	Throttle(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
 	// Forget closes the connections to an address that is no longer used.
 	Forget(address string)
 }
