--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -34,9 +34,9 @@
 	// Submit, State and Cancel name a queue by Host and Path; what follows the
 	// queue's prefix in Path is the job's id. Without an id, State asks how
 	// many of the queue's jobs have not begun.
-	Submit Kind = "submit"
-	State  Kind = "state"
-	Cancel Kind = "cancel"
+	Submit   Kind = "submit"
+	GetState Kind = "state"
+	Cancel   Kind = "cancel"
 	// PutCatalog and GetCatalog change and read the configuration.
 	PutCatalog Kind = "putCatalog"
 	GetCatalog Kind = "getCatalog"
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -177,7 +177,7 @@
 		return ctx.JSONBlob(http.StatusOK, rep.Document)
 	})
 	ech.POST("/v1/jobs", sv.submit)
-	ech.GET("/v1/jobs", sv.about(jobapi.State))
+	ech.GET("/v1/jobs", sv.about(jobapi.GetState))
 	ech.DELETE("/v1/jobs", sv.about(jobapi.Cancel))
 	ech.PUT("/v1/workers/:id", sv.announce)
 	ech.DELETE("/v1/workers/:id", func(ctx echo.Context) error {
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -172,7 +172,7 @@
 	switch call.Kind {
 	case jobapi.Submit:
 		return sv.submit(ctx, call)
-	case jobapi.State:
+	case jobapi.GetState:
 		return sv.state(call)
 	case jobapi.Cancel:
 		return sv.cancel(ctx, call)
