--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -99,8 +99,8 @@
 	return ans, err
 }
 
-// Pace implements weir.TaskWorkers.
-func (cl *Client) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderResponse, err error) {
+// Throttle implements weir.TaskWorkers.
+func (cl *Client) Throttle(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, pacePath, request{Life: life, Key: key, Percent: percent, Token: token}, &ans)
 	return ans, err
 }
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -55,10 +55,10 @@
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) { return wk.Stop(ctx, life, key, token) })
 }
 
-// Pace implements weir.TaskWorkers.
-func (fl *Fleet) Pace(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (weir.OrderResponse, error) {
+// Throttle implements weir.TaskWorkers.
+func (fl *Fleet) Throttle(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (weir.OrderResponse, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
-		return wk.Pace(ctx, life, key, percent, token)
+		return wk.Throttle(ctx, life, key, percent, token)
 	})
 }
 
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -260,8 +260,8 @@
 	return ans, nil
 }
 
-// Pace implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
-func (wk *Worker) Pace(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
+// Throttle implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
+func (wk *Worker) Throttle(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
 	return weir.OrderResponse{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
