--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -358,7 +358,7 @@
 	rep := jobapi.Reply{Outcome: jobapi.NoJob}
 	sv.Store.Read(func(rd store.Reader) {
 		if wv := rd.Waves()[call.Number]; wv != nil {
-			rep = jobapi.Reply{Outcome: jobapi.OK, Done: wv.Done()}
+			rep = jobapi.Reply{Outcome: jobapi.OK, Done: wv.AllStarted()}
 		}
 	})
 	return rep
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -106,7 +106,7 @@
 		rd.EachWorker(func(wk store.Worker) { byMachine[wk.Machine] = wk })
 		numbers := make([]int64, 0, len(rd.Waves()))
 		for number, wv := range rd.Waves() {
-			if !wv.Done() || md.cordonsAny(wv) {
+			if !wv.AllStarted() || md.cordonsAny(wv) {
 				numbers = append(numbers, number)
 			}
 		}
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -111,8 +111,8 @@
 	Started map[string]bool `json:"begun,omitempty"`
 }
 
-// Done reports whether each machine's maintenance has begun.
-func (wv Wave) Done() bool {
+// AllStarted reports whether each machine's maintenance has begun.
+func (wv Wave) AllStarted() bool {
 	for _, mc := range wv.Machines {
 		if !wv.Started[mc] {
 			return false
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -209,7 +209,7 @@
 	fx := newFixture(t)
 	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, MaxParallel: 1}})
 	done := func() (done bool) {
-		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].Done() })
+		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].AllStarted() })
 		return done
 	}
 	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1}})
