--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -377,7 +377,7 @@
 				continue // committed, but not ordered yet
 			}
 			js := rd.Job(key.Task.Job)
-			wanted := !js.Phase.Terminal() && !js.Task(key.Task).Done && !re.evicted[key] && js.Whole(key)
+			wanted := !js.Phase.Terminal() && !js.Task(key.Task).Done && !re.evicted[key] && js.GangComplete(key)
 			placed = append(placed, session.PlacedRun{Key: key, Wanted: wanted})
 		}
 	})
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -99,7 +99,7 @@
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
-	if js.Task(pl.Task) == nil || !js.Whole(key) {
+	if js.Task(pl.Task) == nil || !js.GangComplete(key) {
 		return
 	}
 	order := weir.RunOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -113,8 +113,8 @@
 	first, second := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}, weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 1}, Run: 1}
 	st := storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"))
 	st.Read(func(rd store.Reader) {
-		require.True(t, rd.Job("a").Whole(first))
-		require.True(t, rd.Job("a").Whole(second))
+		require.True(t, rd.Job("a").GangComplete(first))
+		require.True(t, rd.Job("a").GangComplete(second))
 	})
 	st = storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"),
 		store.Change{End: &store.RunEnd{Task: second.Task, Run: 1, Reason: store.EndRefused}})
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -95,9 +95,9 @@
 	return ""
 }
 
-// Whole reports whether a run may do useful work: a member of a gang does
+// GangComplete reports whether a run may do useful work: a member of a gang does
 // nothing unless all others of its run are at workers too.
-func (js *JobState) Whole(key RunKey) bool {
+func (js *JobState) GangComplete(key RunKey) bool {
 	if !js.Spec.Steps[key.Task.Step].Gang {
 		return true
 	}
