--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -122,7 +122,7 @@
 func (ow *Scheduler) demand(rd store.Reader) []demanded {
 	var out []demanded
 	rd.EachActive(func(js *store.JobState) {
-		if js.Phase.Terminal() || !js.Unplaced() {
+		if js.Phase.Terminal() || !js.MayNeedPlacement() {
 			return
 		}
 		if qu, ok := rd.Queue(js.Spec.Queue); ok {
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -110,8 +110,8 @@
 	return true
 }
 
-// Unplaced reports whether a task of an occurrence may have to be placed.
-func (js *JobState) Unplaced() bool {
+// MayNeedPlacement reports whether a task of an occurrence may have to be placed.
+func (js *JobState) MayNeedPlacement() bool {
 	if js.OccurrencesLeft > 1 {
 		return true
 	}
