--- a/internal/job/handler/service.go
+++ b/internal/job/handler/service.go
@@ -116,7 +116,7 @@
 	known := false
 	sv.Store.Read(func(rd store.Reader) {
 		wk, ok := rd.Worker(ann.ID)
-		known = ok && wk.Same(ann.Worker)
+		known = ok && wk.EqualIgnoringSequence(ann.Worker)
 	})
 	return known
 }
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -51,8 +51,8 @@
 	Sequence int64 `json:"seq,omitempty"`
 }
 
-// Same reports whether two announcements say the same of a worker.
-func (wk Worker) Same(other Worker) bool {
+// EqualIgnoringSequence reports whether two announcements say the same of a worker.
+func (wk Worker) EqualIgnoringSequence(other Worker) bool {
 	wk.Sequence = other.Sequence
 	return wk == other
 }
