--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -194,7 +194,7 @@
 		ca := ow.candidate(re, rd, name, wk)
 		mc.Work = ca.work
 		mc.Free = ca.lasting == 0 && at.ss.Usable() && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)
-		if op, ok := rd.Order(name); ok && op.Pool != "" {
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
 			mc.Pool = op.Pool
 		}
 		out = append(out, mc)
@@ -214,7 +214,7 @@
 		if to, ok := md.sent[name]; ok && to.at.After(md.listedAt.Add(-listEvery)) && now.Sub(to.at) < sentFor {
 			mc.Pool, mc.Free = to.pool, false
 		}
-		if op, ok := rd.Order(name); ok && op.Pool != "" {
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
 			mc.Pool, mc.Free = op.Pool, false
 		}
 		out = append(out, mc)
@@ -224,6 +224,6 @@
 
 // engaged reports whether an operation on a machine is under way or near.
 func (md *machineDuty) engaged(rd store.Reader, machine string) bool {
-	_, ordered := rd.Order(machine)
+	_, ordered := rd.MachineOperation(machine)
 	return ordered || md.intent[machine] || md.cordoned(machine)
 }
--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -75,7 +75,7 @@
 	close(gl.gate)
 	require.Eventually(t, func() bool {
 		open := true
-		st.Read(func(rd store.Reader) { _, open = rd.Order("mw0") })
+		st.Read(func(rd store.Reader) { _, open = rd.MachineOperation("mw0") })
 		return !open
 	}, 10*time.Second, time.Millisecond)
 	st.Read(func(rd store.Reader) {
--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -89,7 +89,7 @@
 	if machine == "" {
 		return false
 	}
-	_, ordered := rd.Order(machine)
+	_, ordered := rd.MachineOperation(machine)
 	return ordered || md.cordoned(machine) || md.intent[machine] || md.leaving[machine]
 }
 
@@ -145,7 +145,7 @@
 		return true
 	}
 	last := rd.OrderedAt(machine)
-	if _, open := rd.Order(machine); open && last.Before(re.since) {
+	if _, open := rd.MachineOperation(machine); open && last.Before(re.since) {
 		last = re.since
 	}
 	return now.Sub(last) >= ow.MachineOrderDelay
@@ -287,7 +287,7 @@
 // meant. The machine may run a later one already, where an earlier order was
 // carried out without an answer; that one goes on.
 func (ow *Scheduler) orderedAway(re *reign, rd store.Reader, machine string) []store.Change {
-	op, ok := rd.Order(machine)
+	op, ok := rd.MachineOperation(machine)
 	if !ok || op.Worker == "" {
 		return nil
 	}
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -45,7 +45,7 @@
 	away := 0
 	var waiting []candidate
 	for _, machine := range wv.Machines {
-		op, ordered := rd.Order(machine)
+		op, ordered := rd.MachineOperation(machine)
 		switch {
 		case ordered && op.Wave == wv.Number:
 			away++
@@ -229,7 +229,7 @@
 	if at == nil || re.machines.intent[at.worker.Machine] {
 		return false
 	}
-	if _, ordered := rd.Order(at.worker.Machine); ordered {
+	if _, ordered := rd.MachineOperation(at.worker.Machine); ordered {
 		return false
 	}
 	return at.ss.AtFullSpeed(key)
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -65,8 +65,8 @@
 // Waves returns the maintenance waves; they must not be changed.
 func (rd Reader) Waves() map[int64]*Wave { return rd.st.Waves }
 
-// Order returns the operation under way on a machine.
-func (rd Reader) Order(machine string) (MachineOperation, bool) {
+// MachineOperation returns the operation under way on a machine.
+func (rd Reader) MachineOperation(machine string) (MachineOperation, bool) {
 	op, ok := rd.st.Orders[machine]
 	if !ok {
 		return MachineOperation{}, false
