--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -157,7 +157,7 @@
 func (ow *Scheduler) unanswered(re *reign, rd store.Reader, now time.Time) []weir.MachineOrder {
 	md := re.machines
 	var orders []weir.MachineOrder
-	rd.EachOrder(func(op store.MachineOperation) {
+	rd.EachMachineOperation(func(op store.MachineOperation) {
 		if !md.busy[op.Machine] && now.Sub(md.asked[op.Machine]) >= machineRetry && ow.myTurn(re, rd, op.Machine, now) {
 			orders = append(orders, weir.MachineOrder{
 				Machine: op.Machine, Holder: ow.HolderName, Token: re.term, Wave: op.Wave, Pool: op.Pool,
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -88,8 +88,8 @@
 	return ids
 }
 
-// EachOrder calls a function for each operation under way on a machine.
-func (rd Reader) EachOrder(do func(op MachineOperation)) {
+// EachMachineOperation calls a function for each operation under way on a machine.
+func (rd Reader) EachMachineOperation(do func(op MachineOperation)) {
 	for _, op := range rd.st.Orders {
 		do(*op)
 	}
