--- a/internal/job/scheduler/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -144,7 +144,7 @@
 	if re.machines.mine[machine] {
 		return true
 	}
-	last := rd.OrderedAt(machine)
+	last := rd.MachineOperationSeenAt(machine)
 	if _, open := rd.MachineOperation(machine); open && last.Before(re.since) {
 		last = re.since
 	}
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// OrderedAt returns when this member learned last of an order for a machine.
+// MachineOperationSeenAt returns when this member learned last of an order for a machine.
 // An order in a snapshot counts from when that was taken over.
-func (rd Reader) OrderedAt(machine string) time.Time {
+func (rd Reader) MachineOperationSeenAt(machine string) time.Time {
 	at := rd.sr.orderedAt[machine]
 	if at.Before(rd.sr.restoredAt) {
 		return rd.sr.restoredAt
