--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -396,7 +396,7 @@
 // forget drops jobs whose state need no longer be told.
 func (ow *Scheduler) forget() {
 	var ids []weir.JobID
-	ow.Store.Read(func(rd store.Reader) { ids = rd.Expired(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
+	ow.Store.Read(func(rd store.Reader) { ids = rd.JobsEndedBefore(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
 	if len(ids) > 0 {
 		ow.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Result, error) {})
 	}
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -74,8 +74,8 @@
 	return *op, true
 }
 
-// Expired returns jobs that ended before a time, at most limit of them.
-func (rd Reader) Expired(before time.Time, limit int) []spec.JobID {
+// JobsEndedBefore returns jobs that ended before a time, at most limit of them.
+func (rd Reader) JobsEndedBefore(before time.Time, limit int) []spec.JobID {
 	var ids []spec.JobID
 	for id, js := range rd.st.Jobs {
 		if js.Phase.Terminal() && js.Placed == 0 && js.Ended.Before(before) {
