--- a/internal/job/scheduler/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -312,10 +312,10 @@
 func (ow *Scheduler) attend(ctx context.Context, re *reign, now time.Time) {
 	var present map[weir.InstanceID]store.Worker
 	ow.Store.Read(func(rd store.Reader) {
-		if rd.WorkerChanges() == re.workersSeen {
+		if rd.WorkerRevision() == re.workersSeen {
 			return
 		}
-		re.workersSeen = rd.WorkerChanges()
+		re.workersSeen = rd.WorkerRevision()
 		present = make(map[weir.InstanceID]store.Worker, len(re.sessions))
 		rd.EachWorker(func(wk store.Worker) { present[wk.ID] = wk })
 	})
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -58,9 +58,9 @@
 // Load sums up the runs that may be at a worker.
 func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
 
-// WorkerChanges changes whenever a worker does; it compares only within one
+// WorkerRevision changes whenever a worker does; it compares only within one
 // life of this process.
-func (rd Reader) WorkerChanges() uint64 { return rd.st.WorkerChanges }
+func (rd Reader) WorkerRevision() uint64 { return rd.st.WorkerChanges }
 
 // Waves returns the maintenance waves; they must not be changed.
 func (rd Reader) Waves() map[int64]*Wave { return rd.st.Waves }
