--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -98,9 +98,9 @@
 	Unknown Outcome = "unknown"
 )
 
-// Status is the HTTP status that tells an outcome. 503 and 429 promise that
+// HTTPStatus is the HTTP status that tells an outcome. 503 and 429 promise that
 // the call had no effect, 504 leaves it open.
-func (oc Outcome) Status() int {
+func (oc Outcome) HTTPStatus() int {
 	switch oc {
 	case OK:
 		return http.StatusOK
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -201,7 +201,7 @@
 
 func write(ctx echo.Context, rep jobapi.Reply) error {
 	rep.SetRetryAfter(ctx.Response().Header())
-	return ctx.JSON(rep.Outcome.Status(), Answer{
+	return ctx.JSON(rep.Outcome.HTTPStatus(), Answer{
 		Outcome: rep.Outcome, Reason: rep.Reason, Phase: rep.Phase, Pending: rep.Pending, Done: rep.Done,
 	})
 }
