--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -125,7 +125,7 @@
 	if _, ok := cfg.Sites[weir.Zone(cr.Site)]; !ok {
 		return errors.Errorf("no site is named %s", cr.Site)
 	}
-	return printJSON(cfg.Render(weir.Zone(cr.Site)))
+	return printJSON(cfg.ForSite(weir.Zone(cr.Site)))
 }
 
 type configApply struct {
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	host := &worker.Host{PlatformAddr: wc.PlatformAddr, RebootTime: wc.RebootTime, Logger: lg}
-	for _, inst := range cfg.Render(weir.Zone(wc.Site)).Instances {
+	for _, inst := range cfg.ForSite(weir.Zone(wc.Site)).Instances {
 		ix := len(host.Workers)
 		entries := append(append([]string{}, wc.Entries[ix%len(wc.Entries):]...), wc.Entries[:ix%len(wc.Entries)]...)
 		host.Workers = append(host.Workers, &worker.Worker{
--- a/internal/config/model/model.go
+++ b/internal/config/model/model.go
@@ -199,8 +199,8 @@
 	return svc, ok
 }
 
-// Render returns the configuration as one site sees it.
-func (cf Config) Render(site weir.Zone) Config {
+// ForSite returns the configuration as one site sees it.
+func (cf Config) ForSite(site weir.Zone) Config {
 	out := cf
 	out.Services = patchMap(cf.Services, cf.Sites[site].Services, nil)
 	out.Sites = map[weir.Zone]Site{site: {Name: site}}
