--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -105,8 +105,8 @@
 	return &Error{Op: "check configuration", Kind: KindInvalid, Err: errors.New(fmt.Sprintf(format, args...))}
 }
 
-// Find returns the queue with the longest prefix of the path.
-func (ct Catalog) Find(host, path string) (Queue, bool) {
+// QueueForPath returns the queue with the longest prefix of the path.
+func (ct Catalog) QueueForPath(host, path string) (Queue, bool) {
 	best, found := Queue{}, false
 	for _, qu := range ct.Queues {
 		if qu.Host == host && strings.HasPrefix(path, qu.Prefix) && (!found || len(qu.Prefix) > len(best.Prefix)) {
--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -165,7 +165,7 @@
 
 // ResolveQueue splits a path into the queue's and the job's part.
 func ResolveQueue(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
-	qu, ok := ct.Find(host, path)
+	qu, ok := ct.QueueForPath(host, path)
 	if !ok {
 		return catalog.Queue{}, "", false
 	}
