--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -131,7 +131,7 @@
 		largest = max(largest, ld.PerMachine)
 		loads[wk.Pool] = ld
 	})
-	rd.EachActive(func(js *store.JobState) {
+	rd.EachActiveJob(func(js *store.JobState) {
 		qu, ok := rd.Queue(js.Spec.Queue)
 		if !ok || js.Phase.Terminal() {
 			return
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -121,7 +121,7 @@
 // demand lists the jobs that may have tasks to place.
 func (ow *Scheduler) demand(rd store.Reader) []demanded {
 	var out []demanded
-	rd.EachActive(func(js *store.JobState) {
+	rd.EachActiveJob(func(js *store.JobState) {
 		if js.Phase.Terminal() || !js.MayNeedPlacement() {
 			return
 		}
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -25,9 +25,9 @@
 // kept beyond the read.
 func (rd Reader) Job(id spec.JobID) *JobState { return rd.st.Jobs[id] }
 
-// EachActive calls a function for each job that has tasks to run or runs that
+// EachActiveJob calls a function for each job that has tasks to run or runs that
 // may be at workers.
-func (rd Reader) EachActive(do func(js *JobState)) {
+func (rd Reader) EachActiveJob(do func(js *JobState)) {
 	for id := range rd.st.Active {
 		do(rd.st.Jobs[id])
 	}
