--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/settings"
 
 	"github.com/go-kit/log"
@@ -39,22 +39,22 @@
 // kit is what every daemon is built from.
 type kit struct {
 	logger    log.Logger
-	level     *logs.Level
+	level     *logging.Level
 	token     string
-	operators *access.Operators
+	operators *auth.Operators
 }
 
 func (cf *commonFlags) open(role string) (kit, error) {
-	lg, lvl, err := logs.New(os.Stderr, cf.LogLevel, role, cf.ID)
+	lg, lvl, err := logging.New(os.Stderr, cf.LogLevel, role, cf.ID)
 	if err != nil {
 		return kit{}, err
 	}
 	invariant.SetLogger(lg)
-	token, err := access.LoadToken(cf.PeerTokenFile)
+	token, err := auth.LoadToken(cf.PeerTokenFile)
 	if err != nil {
 		return kit{}, err
 	}
-	opers, err := access.Load(cf.OperatorTokens)
+	opers, err := auth.Load(cf.OperatorTokens)
 	return kit{logger: lg, level: lvl, token: token, operators: opers}, err
 }
 
--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -8,13 +8,13 @@
 	"greengageweir/internal/control/operatorapi"
 	"greengageweir/internal/control/reconcile"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/control/serve"
+	"greengageweir/internal/control/rpc"
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/state/node"
@@ -40,7 +40,7 @@
 func (cc *controlCommand) check() error {
 	var ck settings.Checks
 	cc.commonFlags.check(&ck)
-	ck.Need("--data-dir", cc.DataDir != "")
+	ck.Require("--data-dir", cc.DataDir != "")
 	ck.Range("--heartbeat", cc.Heartbeat, 10*time.Millisecond, 5*time.Second)
 	ck.Range("--election", cc.Election, 4*cc.Heartbeat, time.Minute)
 	cc.members = map[string]string{}
@@ -49,7 +49,7 @@
 		ck.Address("--member", addr)
 		cc.members[id] = addr
 	}
-	ck.Need("--member "+cc.ID+"=...", cc.members[cc.ID] != "")
+	ck.Require("--member "+cc.ID+"=...", cc.members[cc.ID] != "")
 	cc.platforms = map[weir.Zone]string{}
 	for _, item := range split(cc.Platforms) {
 		zone, addr := ck.Pair("--platform", item)
@@ -75,45 +75,45 @@
 
 // controlState is a control process's part of the state dump.
 type controlState struct {
-	Log         replica.Status       `json:"log"`
-	Applied     uint64               `json:"applied"`
-	Number      uint64               `json:"number"`
-	Subscribers int                  `json:"subscribers"`
-	Pools       []machine.PoolStatus `json:"pools"`
+	Log         replica.Status   `json:"log"`
+	Applied     uint64           `json:"applied"`
+	Number      uint64           `json:"number"`
+	Subscribers int              `json:"subscribers"`
+	Pools       []fsm.PoolStatus `json:"pools"`
 }
 
-func (cc *controlCommand) build(kt kit) []weir.Step {
+func (cc *controlCommand) build(kt kit) []weir.Component {
 	clk := clock.System{}
 	self := peer.Identity{ID: cc.ID, Role: "control", Zone: cc.Zone}
 	hb := hub.New()
-	mc := machine.New(hb.Publish, hb.Reset)
+	mc := fsm.New(hb.Publish, hb.Reset)
 	hb.View = mc.View
 	rg := registry.New()
 	mbl := &links.Links{Self: self, Token: kt.token, Addrs: cc.members, Logger: kt.logger}
 	nd := &node.Node{
-		ID: cc.ID, Members: cc.memberIDs(), Dir: cc.DataDir, Machine: mc, Send: mbl.Send, Clock: clk,
+		ID: cc.ID, Members: cc.memberIDs(), Dir: cc.DataDir, StateMachine: mc, Send: mbl.Send, Clock: clk,
 		Logger: kt.logger, Heartbeat: cc.Heartbeat, Election: cc.Election,
 	}
-	sv := &serve.Service{Self: cc.ID, Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: mbl, Clock: clk}
+	sv := &rpc.Service{Self: cc.ID, Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: mbl, Clock: clk}
 	api := &operatorapi.API{Service: sv}
 	dump := func() any {
 		st := controlState{Log: nd.Status(), Subscribers: hb.Subscribers()}
-		mc.Read(func(rd machine.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.Number(), rd.Pools() })
+		mc.Read(func(rd fsm.Reader) { st.Applied, st.Number, st.Pools = rd.Index(), rd.ConfigNumber(), rd.Pools() })
 		return st
 	}
 	ready := func() error {
 		if nd.Status().Leader == "" {
-			return &serve.Error{Op: "ready", Kind: serve.KindNoLeader}
+			return &rpc.Error{Op: "ready", Kind: rpc.KindNoLeader}
 		}
 		return nil
 	}
-	return []weir.Step{
+	return []weir.Component{
 		mbl,
 		nd,
-		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, Gone: hb.Gone, Logger: kt.logger},
+		&peer.Server{Addr: cc.PeerAddr, Token: kt.token, Handle: sv.Handle, OnDisconnect: hb.Unsubscribe, Logger: kt.logger},
 		&reconcile.Reconciler{
 			Machine: mc, Registry: rg, Platform: &platform.Client{Addrs: cc.platforms}, Clock: clk,
-			Logger: kt.logger, IsLeader: sv.Leads, Propose: sv.Propose,
+			Logger: kt.logger, IsLeader: sv.IsLeader, Propose: sv.Propose,
 		},
 		&ops.Server{
 			Addr: cc.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -11,14 +11,14 @@
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/entry/callerapi"
 	"greengageweir/internal/entry/dispatch"
-	"greengageweir/internal/entry/follow"
-	"greengageweir/internal/entry/front"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/entry/report"
 	"greengageweir/internal/entry/serve"
+	"greengageweir/internal/entry/viewsync"
 	"greengageweir/internal/link/peer"
 
 	"github.com/pkg/errors"
@@ -51,7 +51,7 @@
 	ck.Range("--drain-notice", ec.DrainNotice, minNotice, maxNotice)
 	ck.Range("--drain-patience", ec.DrainPatience, time.Second, time.Hour)
 	ec.Controls = split(ec.Controls)
-	ck.Need("--control", len(ec.Controls) > 0)
+	ck.Require("--control", len(ec.Controls) > 0)
 	for _, addr := range ec.Controls {
 		ck.Address("--control", addr)
 	}
@@ -63,7 +63,7 @@
 		ec.peers = append(ec.peers, mesh.Peer{ID: id, Zone: weir.Zone(zone), Addr: addr})
 		self = self || (id == ec.ID && zone == ec.Zone)
 	}
-	ck.Need(fmt.Sprintf("--entry %s=%s=...", ec.ID, ec.Zone), self)
+	ck.Require(fmt.Sprintf("--entry %s=%s=...", ec.ID, ec.Zone), self)
 	return ck.Err()
 }
 
@@ -85,33 +85,33 @@
 // entryProcess holds the parts of an entry instance.
 type entryProcess struct {
 	clk      clock.System
-	table    *place.Table
+	table    *placement.Table
 	store    *ledger.Store
 	mesh     *mesh.Mesh
-	follower *follow.Follower
-	front    *front.Front
-	steps    []weir.Step
+	follower *viewsync.Subscriber
+	front    *callerapi.Server
+	steps    []weir.Component
 }
 
 func (ec *entryCommand) build(kt kit) *entryProcess {
 	clk := clock.System{}
 	zone := weir.Zone(ec.Zone)
 	self := peer.Identity{ID: ec.ID, Role: "entry", Zone: ec.Zone}
-	pr := &entryProcess{clk: clk, table: place.New(clk, zone)}
+	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
-	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.Free}
-	pr.follower = &follow.Follower{
+	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.FreeSlots}
+	pr.follower = &viewsync.Subscriber{
 		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
 	}
 	dp := &dispatch.Dispatcher{
-		Self: ec.ID, Zone: zone, Sites: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
+		Self: ec.ID, Zone: zone, Entries: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
 	}
-	pr.front = &front.Front{
+	pr.front = &callerapi.Server{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
-	sv := &serve.Service{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
-	pr.steps = []weir.Step{
+	sv := &serve.PeerHandler{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
+	pr.steps = []weir.Component{
 		&ops.Server{
 			Addr: ec.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
 			Dump: pr.dump, Ready: pr.ready,
@@ -124,19 +124,19 @@
 		},
 		&report.Reporter{
 			Self: ec.ID, Zone: zone, Started: clk.Now().UTC().Round(time.Millisecond), Table: pr.table,
-			Follower: pr.follower, Clock: clk, Logger: kt.logger,
+			Control: pr.follower, Clock: clk, Logger: kt.logger,
 		},
-		&serve.Announcements{Addr: ec.EndpointAddr, Table: pr.table},
+		&serve.AnnouncementServer{Addr: ec.EndpointAddr, Table: pr.table},
 		&run.Func{Name: "drainer", Do: pr.drain},
 		pr.front,
 	}
 	return pr
 }
 
-func (ec *entryCommand) sites() []ledger.Site {
-	sites := make([]ledger.Site, 0, len(ec.peers))
+func (ec *entryCommand) sites() []ledger.EntryInstance {
+	sites := make([]ledger.EntryInstance, 0, len(ec.peers))
 	for _, pe := range ec.peers {
-		sites = append(sites, ledger.Site{Entry: pe.ID, Zone: pe.Zone})
+		sites = append(sites, ledger.EntryInstance{Entry: pe.ID, Zone: pe.Zone})
 	}
 	return sites
 }
@@ -173,7 +173,7 @@
 		return errors.New("stopping")
 	case pr.follower.View().Index == 0:
 		return errors.New("no configuration yet")
-	case !pr.store.Settled(pr.clk.Now()):
+	case !pr.store.AcceptsNewKeys(pr.clk.Now()):
 		return errors.New("ledger has not caught up")
 	}
 	return nil
@@ -181,18 +181,18 @@
 
 // entryState is an entry instance's part of the state dump.
 type entryState struct {
-	View      uint64                `json:"view"`
-	Number    uint64                `json:"number"`
-	InFlight  int64                 `json:"inFlight"`
-	Ledger    ledger.Stats          `json:"ledger"`
-	Endpoints []place.EndpointState `json:"endpoints"`
-	Demand    any                   `json:"demand"`
+	View      uint64                    `json:"view"`
+	Number    uint64                    `json:"number"`
+	InFlight  int64                     `json:"inFlight"`
+	Ledger    ledger.Stats              `json:"ledger"`
+	Endpoints []placement.EndpointState `json:"endpoints"`
+	Demand    any                       `json:"demand"`
 }
 
 func (pr *entryProcess) dump() any {
 	vw := pr.follower.View()
 	return entryState{
-		View: vw.Index, Number: vw.Number, InFlight: pr.front.InFlight(), Ledger: pr.store.Stats(),
+		View: vw.Index, Number: vw.ConfigNumber, InFlight: pr.front.InFlight(), Ledger: pr.store.Stats(),
 		Endpoints: pr.table.Endpoints(), Demand: pr.table.Demand(),
 	}
 }
--- a/cmd/greengageweir/holder.go
+++ b/cmd/greengageweir/holder.go
@@ -8,8 +8,8 @@
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/job/owner"
-	"greengageweir/internal/job/service"
+	"greengageweir/internal/job/handler"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
@@ -61,34 +61,34 @@
 
 	node    *node.Node
 	roster  *roster.Roster
-	service *service.Service
-	steps   []weir.Step
+	service *handler.Handler
+	steps   []weir.Component
 }
 
 // build makes the parts and the steps that run them.
 func (ho *holder) build() {
 	self := peer.Identity{ID: ho.PeerAddr, Role: "control", Zone: ho.Zone}
-	steady, wall, lg := clock.Steady{}, clock.Wall{}, ho.Logger
+	steady, wall, lg := clock.BootTime{}, clock.Wall{}, ho.Logger
 	lks := &links.Links{Self: self, Token: ho.Token, Logger: lg}
 	str := store.New()
 	str.Clock = steady
 	ho.node = &node.Node{
-		ID: self.ID, Dir: ho.DataDir, Machine: str, Send: lks.Send, Clock: steady, Logger: lg,
-		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, Lazy: true,
+		ID: self.ID, Dir: ho.DataDir, StateMachine: str, Send: lks.Send, Clock: steady, Logger: lg,
+		Heartbeat: logHeartbeat, Election: logElection, SnapshotEvery: snapshotEvery, LazyPropagation: true,
 	}
 	ho.roster = &roster.Roster{
-		Self: self.ID, Holder: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
+		Self: self.ID, HoldsLog: true, Seeds: ho.Seeds, Links: lks, Log: ho.node, Voters: ho.Voters, Logger: lg,
 	}
-	com := &owner.Committer{Log: ho.node, Wall: wall}
-	own := &owner.Owner{
-		Store: str, Committer: com, Lead: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
-		Lease: workerLease, Retention: ho.Retention, Leading: ho.Leading, HolderName: ho.Name, OrderPause: ho.Turn,
+	com := &scheduler.Committer{Log: ho.node, Wall: wall}
+	own := &scheduler.Scheduler{
+		Store: str, Committer: com, Leadership: ho.node, Workers: ho.Workers, Machines: ho.Machines, MachineOrderRate: ho.MachineRate, Adviser: ho.Adviser, Clock: steady, Wall: wall, Logger: lg,
+		Lease: workerLease, Retention: ho.Retention, OnLeadershipChange: ho.Leading, HolderName: ho.Name, MachineOrderDelay: ho.Turn,
 	}
-	str.Applied = own.Wake
-	ho.service = &service.Service{
-		Self: self.ID, Store: str, Committer: com, Owner: own, Lead: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
+	str.OnApplied = own.Wake
+	ho.service = &handler.Handler{
+		Self: self.ID, Store: str, Committer: com, Owner: own, Leader: ho.node, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
-	ho.steps = []weir.Step{
+	ho.steps = []weir.Component{
 		lks, ho.node, com, own, ho.roster,
 		&peer.Server{Addr: self.ID, Token: ho.Token, Handle: ho.handle, Logger: lg},
 	}
@@ -109,20 +109,20 @@
 		}
 		ho.node.Deliver(msg)
 		return nil, nil
-	case jobapi.Directory:
-		var in jobapi.Introduction
+	case jobapi.DirectoryMethod:
+		var in jobapi.DirectoryRequest
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
-		return ho.roster.Answer(in), nil
-	case jobapi.Method:
+		return ho.roster.HandleIntroduction(in), nil
+	case jobapi.CallMethod:
 		var in jobapi.Call
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
 		return ho.service.Handle(ctx, in), nil
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
 // formatFirst makes the seeds of the first start the first voters. Whoever
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -7,11 +7,11 @@
 
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
@@ -50,9 +50,9 @@
 	if jc.MetricsAddr != "" {
 		ck.Address("--metrics-addr", jc.MetricsAddr)
 	}
-	ck.Need("--data-dir", jc.DataDir != "")
+	ck.Require("--data-dir", jc.DataDir != "")
 	jc.Seeds = split(jc.Seeds)
-	ck.Need("--seed", len(jc.Seeds) > 0)
+	ck.Require("--seed", len(jc.Seeds) > 0)
 	for _, seed := range jc.Seeds {
 		ck.Address("--seed", seed)
 	}
@@ -67,12 +67,12 @@
 	if err := jc.check(); err != nil {
 		return err
 	}
-	lg, _, err := logs.New(logs.NewAsync(os.Stdout), jc.LogLevel, "jobs", jc.PeerAddr)
+	lg, _, err := logging.New(logging.NewAsync(os.Stdout), jc.LogLevel, "jobs", jc.PeerAddr)
 	if err != nil {
 		return err
 	}
 	invariant.SetLogger(lg)
-	token, err := access.LoadToken(jc.PeerTokenFile)
+	token, err := auth.LoadToken(jc.PeerTokenFile)
 	if err != nil {
 		return err
 	}
@@ -89,11 +89,11 @@
 	ctx := stopContext(lg, func() string { return "nothing that is not synced" })
 	ho := &holder{
 		PeerAddr: jc.PeerAddr, Zone: jc.Zone, Token: token, Seeds: jc.Seeds, DataDir: jc.DataDir, Voters: 2*jc.Tolerance + 1,
-		Retention: jc.Retention, Name: jc.PeerAddr, Workers: taskapi.NewClient(clock.Steady{}), Logger: lg,
+		Retention: jc.Retention, Name: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
 	}
 	ho.build()
 	ho.steps = append(ho.steps, &ops.Listener{
-		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(ho.service, clock.Wall{}), Patience: controlPatience,
+		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(ho.service, clock.Wall{}), ShutdownTimeout: controlPatience,
 	})
 	if jc.MetricsAddr != "" {
 		ho.steps = append(ho.steps, metricsListener(jc.MetricsAddr, ho.state))
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -47,20 +47,20 @@
 	return err
 }
 
-func (pc *platformEntryCommand) steps(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Step {
+func (pc *platformEntryCommand) steps(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Component {
 	self := peer.Identity{ID: st.PeerAddress(), Role: "entry", Zone: string(st.Zone)}
 	lks := &links.Links{Self: self, Token: peerToken, Logger: lg, NoRaft: true}
 	ros := &roster.Roster{Self: self.ID, Seeds: st.SeedPeers(), Links: lks, Logger: lg}
-	rly := &relay.Relay{Links: lks, Roster: ros, Clock: clock.Steady{}, Logger: lg}
+	rly := &relay.Relay{Links: lks, Roster: ros, Clock: clock.BootTime{}, Logger: lg}
 	ready := func() bool { return !stopping.Load() && rly.Ready() }
-	return []weir.Step{
+	return []weir.Component{
 		lks,
 		ros,
 		pc.watch(lg, ros),
 		metricsStep(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
 		&ops.Listener{
 			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewFront(rly, lg),
-			Linger: entryLinger, Patience: entryPatience,
+			ShutdownDelay: entryLinger, ShutdownTimeout: entryPatience,
 		},
 		&ops.Listener{Name: "readiness", Addr: st.Bind.Ready, Handler: platform.NewReady(ready)},
 	}
--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/duty/auth"
 
 	"github.com/google/uuid"
 )
@@ -24,7 +24,7 @@
 }
 
 func (rm *remote) client() (*operator.Client, context.Context, context.CancelFunc, error) {
-	token, err := access.LoadToken(rm.TokenFile)
+	token, err := auth.LoadToken(rm.TokenFile)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -64,13 +64,13 @@
 	}
 	defer cancel()
 	return retryUnreachable(ctx, func() error {
-		ans, err := cl.Command(ctx, path, body)
+		ans, err := cl.SendCommand(ctx, path, body)
 		if err != nil {
 			return err
 		}
 		return rm.show(ans, func() {
-			if ans.Number > 0 {
-				fmt.Printf("accepted as configuration %d (log index %d)\n", ans.Number, ans.Index)
+			if ans.ConfigNumber > 0 {
+				fmt.Printf("accepted as configuration %d (log index %d)\n", ans.ConfigNumber, ans.Index)
 				return
 			}
 			fmt.Printf("accepted (log index %d)\n", ans.Index)
--- a/cmd/weirctl/config.go
+++ b/cmd/weirctl/config.go
@@ -12,7 +12,7 @@
 	"greengageweir/internal/config/file"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/pkg/errors"
 
@@ -99,7 +99,7 @@
 		return err
 	}
 	defer cancel()
-	var now operator.ConfigAnswer
+	var now operator.ConfigResponse
 	if err := retryUnreachable(ctx, func() error { return cl.Get(ctx, "/v1/config", &now) }); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 	if _, ok := cfg.Sites[weir.Zone(cr.Site)]; !ok {
 		return errors.Errorf("no site is named %s", cr.Site)
 	}
-	return printJSON(cfg.Render(weir.Zone(cr.Site)))
+	return printJSON(cfg.ForSite(weir.Zone(cr.Site)))
 }
 
 type configApply struct {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return errors.Errorf("--expected: want a number, got %q", ca.Expected)
 	}
-	req := operator.ApplyRequest{RequestID: ca.id(), Expected: expected, Note: ca.Note, Config: cfg}
+	req := operator.ApplyConfigRequest{RequestID: ca.id(), Expected: expected, Note: ca.Note, Config: cfg}
 	if err := ca.command("/v1/config", req); err != nil {
 		return err
 	}
@@ -170,11 +170,11 @@
 			return err
 		}
 	}
-	return get(&cs.remote, "/v1/status", func(ans operator.StatusAnswer) {
-		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.Number, ans.Leader, ans.Index, ans.Moves)
+	return get(&cs.remote, "/v1/status", func(ans operator.StatusResponse) {
+		fmt.Printf("configuration %d, leader %s, log index %d, moves %d\n", ans.ConfigNumber, ans.Leader, ans.Index, ans.Moves)
 		rows := make([][]string, 0, len(ans.Processes))
 		for _, pr := range ans.Processes {
-			rows = append(rows, []string{pr.ID, string(pr.Zone), strconv.FormatUint(pr.Number, 10), strconv.FormatBool(pr.Heard)})
+			rows = append(rows, []string{pr.ID, string(pr.Zone), strconv.FormatUint(pr.ConfigNumber, 10), strconv.FormatBool(pr.Reporting)})
 		}
 		table("PROCESS ZONE NUMBER HEARD", rows)
 	})
@@ -194,11 +194,11 @@
 	defer stop()
 	begin := time.Now()
 	for {
-		var ans operator.StatusAnswer
+		var ans operator.StatusResponse
 		err := cl.Get(ctx, "/v1/status", &ans)
 		want := max(number, 1)
 		if number == 0 {
-			want = ans.Number
+			want = ans.ConfigNumber
 		}
 		inForce, unheard := ans.InForce(want)
 		if err == nil && inForce {
@@ -221,7 +221,7 @@
 
 // Execute implements flags.Commander.
 func (ch *configHistory) Execute([]string) error {
-	return get(&ch.remote, "/v1/config/history", func(list []machine.Change) {
+	return get(&ch.remote, "/v1/config/history", func(list []fsm.ConfigChange) {
 		rows := make([][]string, 0, len(list))
 		for _, chg := range list {
 			rows = append(rows, []string{
--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -9,7 +9,7 @@
 
 	"greengageweir/internal/contract/operator"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/pkg/errors"
 
@@ -28,7 +28,7 @@
 
 // Execute implements flags.Commander.
 func (ws *waveStart) Execute([]string) error {
-	req := operator.WaveRequest{RequestID: ws.id(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
+	req := operator.CreateWaveRequest{RequestID: ws.id(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
 	for _, pool := range ws.Pools {
 		req.Wave.Pools = append(req.Wave.Pools, weir.PoolName(pool))
 	}
@@ -106,7 +106,7 @@
 
 // Execute implements flags.Commander.
 func (pl *poolList) Execute([]string) error {
-	return get(&pl.remote, "/v1/status", func(ans operator.StatusAnswer) {
+	return get(&pl.remote, "/v1/status", func(ans operator.StatusResponse) {
 		rows := make([][]string, 0, len(ans.Pools))
 		for _, pol := range ans.Pools {
 			rows = append(rows, []string{
@@ -180,14 +180,14 @@
 
 // Execute implements flags.Commander.
 func (pf *processForget) Execute([]string) error {
-	return pf.command("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetRequest{RequestID: pf.id()})
+	return pf.command("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetProcessRequest{RequestID: pf.id()})
 }
 
 type usageCommand struct{ remote }
 
 // Execute implements flags.Commander.
 func (uc *usageCommand) Execute([]string) error {
-	return get(&uc.remote, "/v1/usage", func(ans operator.UsageAnswer) {
+	return get(&uc.remote, "/v1/usage", func(ans operator.UsageResponse) {
 		rows := make([][]string, 0, len(ans.Lines))
 		for _, line := range ans.Lines {
 			rows = append(rows, usageRow(line))
@@ -197,7 +197,7 @@
 	})
 }
 
-func usageRow(line machine.UsageLine) []string {
+func usageRow(line fsm.UsageLine) []string {
 	return []string{
 		string(line.Service), string(line.Team), strconv.FormatUint(line.Done, 10),
 		strconv.FormatUint(line.Failed, 10), strconv.FormatUint(line.BusyMillis, 10),
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -15,7 +15,7 @@
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/spec"
@@ -41,20 +41,20 @@
 
 // Execute implements flags.Commander.
 func (tc *taskWorkersCommand) Execute([]string) error {
-	lg, _, err := logs.New(os.Stderr, "info", "standin", tc.Pool)
+	lg, _, err := logging.New(os.Stderr, "info", "standin", tc.Pool)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	var steps []weir.Step
+	var steps []weir.Component
 	for ix := range tc.Count {
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(tc.Port+ix))
 		ann := jobapi.Announcement{Worker: store.Worker{
-			ID: weir.InstanceID(fmt.Sprintf("%s-%d", tc.Pool, ix)), Born: clock.Wall{}.Now().UnixMilli(), Pool: weir.PoolName(tc.Pool),
-			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Room: spec.Need{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
+			ID: weir.InstanceID(fmt.Sprintf("%s-%d", tc.Pool, ix)), Incarnation: clock.Wall{}.Now().UnixMilli(), Pool: weir.PoolName(tc.Pool),
+			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Capacity: spec.Resources{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
 		}}
-		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Born, Clock: clock.System{}}
+		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Incarnation, Clock: clock.System{}}
 		steps = append(steps,
 			&ops.Listener{Name: "worker " + string(ann.ID), Addr: addr, Handler: taskapi.Routes(wk)},
 			&run.Func{Name: "announcer of " + string(ann.ID), Do: func(ctx context.Context) error { return tc.announce(ctx, ann, lg) }})
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -9,7 +9,7 @@
 
 	"greengageweir/internal/config/file"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/standin/worker"
 
 	weir "greengageweir"
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	lg, _, err := logs.New(os.Stderr, "info", "standin", wc.Site)
+	lg, _, err := logging.New(os.Stderr, "info", "standin", wc.Site)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		return err
 	}
 	host := &worker.Host{PlatformAddr: wc.PlatformAddr, RebootTime: wc.RebootTime, Logger: lg}
-	for _, inst := range cfg.Render(weir.Zone(wc.Site)).Instances {
+	for _, inst := range cfg.ForSite(weir.Zone(wc.Site)).Instances {
 		ix := len(host.Workers)
 		entries := append(append([]string{}, wc.Entries[ix%len(wc.Entries):]...), wc.Entries[:ix%len(wc.Entries)]...)
 		host.Workers = append(host.Workers, &worker.Worker{
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 
@@ -27,7 +27,7 @@
 const KindInvalid Kind = "configuration is not valid"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Advice tells how the adviser of a queue answers.
 type Advice struct {
@@ -45,11 +45,11 @@
 	Pool   weir.PoolName `json:"pool"`
 	// Timeout bounds one call of a caller.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the latency that callers want on top of the stretched work.
-	Target      time.Duration `json:"target"`
-	Stretch     float64       `json:"stretch"`
-	Priority    int           `json:"priority"`
-	MaxAttempts int           `json:"maxAttempts"`
+	// TargetLatency is the latency that callers want on top of the stretched work.
+	TargetLatency time.Duration `json:"target"`
+	Stretch       float64       `json:"stretch"`
+	Priority      int           `json:"priority"`
+	MaxAttempts   int           `json:"maxAttempts"`
 	// Advice is set where an adviser names the workers of a step.
 	Advice *Advice `json:"advice,omitempty"`
 }
@@ -60,8 +60,8 @@
 // Pool is a set of instances that run the tasks of queues.
 type Pool struct {
 	Name weir.PoolName `json:"name"`
-	// Guards says that the workers refuse what does not fit.
-	Guards bool `json:"guards"`
+	// EnforcesCapacity says that the workers refuse what does not fit.
+	EnforcesCapacity bool `json:"guards"`
 	// Standby pools hold instances that are off.
 	Standby bool `json:"standby"`
 }
@@ -105,8 +105,8 @@
 	return &Error{Op: "check configuration", Kind: KindInvalid, Err: errors.New(fmt.Sprintf(format, args...))}
 }
 
-// Find returns the queue with the longest prefix of the path.
-func (ct Catalog) Find(host, path string) (Queue, bool) {
+// QueueForPath returns the queue with the longest prefix of the path.
+func (ct Catalog) QueueForPath(host, path string) (Queue, bool) {
 	best, found := Queue{}, false
 	for _, qu := range ct.Queues {
 		if qu.Host == host && strings.HasPrefix(path, qu.Prefix) && (!found || len(qu.Prefix) > len(best.Prefix)) {
--- a/internal/contract/caller/caller.go
+++ b/internal/contract/caller/caller.go
@@ -39,8 +39,8 @@
 	PathCall = "/v1/call/"
 )
 
-// KeyAnswer is the answer to a request for a key.
-type KeyAnswer struct {
+// KeyResponse is the answer to a request for a key.
+type KeyResponse struct {
 	Key string `json:"key"`
 }
 
@@ -51,9 +51,9 @@
 }
 
 // StatusOf returns the HTTP status that carries an answer.
-func StatusOf(ans weir.Answer) int {
+func StatusOf(ans weir.Response) int {
 	switch ans.Kind {
-	case weir.Whole:
+	case weir.Complete:
 		return ans.Status
 	case weir.NotRun:
 		return http.StatusServiceUnavailable
--- a/internal/contract/endpoint/endpoint.go
+++ b/internal/contract/endpoint/endpoint.go
@@ -104,20 +104,20 @@
 	Usage []command.UsageReport `json:"usage,omitempty"`
 }
 
-// Answer is the entry instance's answer to an announcement.
-type Answer struct {
+// AnnounceResponse is the entry instance's answer to an announcement.
+type AnnounceResponse struct {
 	Granted bool   `json:"granted"`
 	Reason  string `json:"reason,omitempty"`
 	// LeaseMillis is how long the lease holds from the time of the request.
 	LeaseMillis int64 `json:"leaseMillis"`
-	// EveryMillis is when to announce again.
-	EveryMillis int64 `json:"everyMillis"`
+	// AnnounceMillis is when to announce again.
+	AnnounceMillis int64 `json:"everyMillis"`
 	// UsageMillis is the shortest time between two usage reports; one that
 	// leaves reports at once.
 	UsageMillis int64            `json:"usageMillis"`
 	View        uint64           `json:"view"`
 	Service     weir.ServiceName `json:"service,omitempty"`
 	Slots       int              `json:"slots"`
-	// Settled is the last usage report of this incarnation that is counted.
-	Settled uint64 `json:"settled"`
+	// AckedUsage is the last usage report of this incarnation that is counted.
+	AckedUsage uint64 `json:"settled"`
 }
--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -19,12 +19,12 @@
 	weir "greengageweir"
 )
 
-// Method is the name of the call between processes.
-const Method = "job.call"
+// CallMethod is the name of the call between processes.
+const CallMethod = "job.call"
 
-// Directory asks a holder of the log for all of them, and introduces the
+// DirectoryMethod asks a holder of the log for all of them, and introduces the
 // asking process, see Introduction.
-const Directory = "member.directory"
+const DirectoryMethod = "member.directory"
 
 // Kind tells calls apart.
 type Kind string
@@ -34,9 +34,9 @@
 	// Submit, State and Cancel name a queue by Host and Path; what follows the
 	// queue's prefix in Path is the job's id. Without an id, State asks how
 	// many of the queue's jobs have not begun.
-	Submit Kind = "submit"
-	State  Kind = "state"
-	Cancel Kind = "cancel"
+	Submit   Kind = "submit"
+	GetState Kind = "state"
+	Cancel   Kind = "cancel"
 	// PutCatalog and GetCatalog change and read the configuration.
 	PutCatalog Kind = "putCatalog"
 	GetCatalog Kind = "getCatalog"
@@ -72,8 +72,8 @@
 	store.Worker
 	// Clock is the worker's steady clock.
 	Clock time.Duration `json:"clock"`
-	// DrainLeft is the least time that is left to a draining worker.
-	DrainLeft time.Duration `json:"drainLeft,omitempty"`
+	// DrainRemaining is the least time that is left to a draining worker.
+	DrainRemaining time.Duration `json:"drainLeft,omitempty"`
 }
 
 // Outcome is how a call ended.
@@ -98,9 +98,9 @@
 	Unknown Outcome = "unknown"
 )
 
-// Status is the HTTP status that tells an outcome. 503 and 429 promise that
+// HTTPStatus is the HTTP status that tells an outcome. 503 and 429 promise that
 // the call had no effect, 504 leaves it open.
-func (oc Outcome) Status() int {
+func (oc Outcome) HTTPStatus() int {
 	switch oc {
 	case OK:
 		return http.StatusOK
@@ -150,22 +150,22 @@
 	Handle(ctx context.Context, call Call) Reply
 }
 
-// Introduction is what a process says of itself in Directory.
-type Introduction struct {
-	// Holder is set for processes that hold the log.
-	Holder bool   `json:"holder,omitempty"`
-	ID     string `json:"id"`
+// DirectoryRequest is what a process says of itself in Directory.
+type DirectoryRequest struct {
+	// Replica is set for processes that hold the log.
+	Replica bool   `json:"holder,omitempty"`
+	ID      string `json:"id"`
 }
 
-// Listing is the answer to Directory.
-type Listing struct {
-	Holders []string `json:"holders"`
-	Leader  string   `json:"leader,omitempty"`
+// DirectoryReply is the answer to Directory.
+type DirectoryReply struct {
+	Replicas []string `json:"holders"`
+	Leader   string   `json:"leader,omitempty"`
 }
 
-// QueueOf splits a path into the queue's and the job's part.
-func QueueOf(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
-	qu, ok := ct.Find(host, path)
+// ResolveQueue splits a path into the queue's and the job's part.
+func ResolveQueue(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
+	qu, ok := ct.QueueForPath(host, path)
 	if !ok {
 		return catalog.Queue{}, "", false
 	}
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -78,7 +78,7 @@
 	for _, qu := range ct.Queues {
 		queue := catalog.Queue{
 			Name: qu.Name, Host: host, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
-			Target: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
+			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
 		if ad := qu.Advice; ad != nil {
 			queue.Advice = &catalog.Advice{
@@ -104,30 +104,30 @@
 	Label          string `json:"label,omitempty"`
 	DataRack       string `json:"dataRack,omitempty"`
 	MaxPerWorker   int    `json:"maxPerWorker,omitempty"`
-	Lasting        bool   `json:"lasting,omitempty"`
+	LongRunning    bool   `json:"lasting,omitempty"`
 	Image          string `json:"image,omitempty"`
 	TargetMillis   int64  `json:"targetMillis,omitempty"`
-	Filling        bool   `json:"filling,omitempty"`
-	MaxAway        int    `json:"maxAway,omitempty"`
+	BestEffort     bool   `json:"filling,omitempty"`
+	MaxUnavailable int    `json:"maxAway,omitempty"`
 }
 
 // Job is a job as callers write it.
 type Job struct {
-	Text        string    `json:"text,omitempty"`
-	Steps       []Step    `json:"steps"`
-	Times       int       `json:"times,omitempty"`
-	StartAt     time.Time `json:"startAt,omitzero"`
-	EveryMillis int64     `json:"everyMillis,omitempty"`
+	Text            string    `json:"text,omitempty"`
+	Steps           []Step    `json:"steps"`
+	OccurrenceCount int       `json:"times,omitempty"`
+	StartAt         time.Time `json:"startAt,omitzero"`
+	EveryMillis     int64     `json:"everyMillis,omitempty"`
 }
 
 func (jb Job) decode() *spec.Job {
-	out := &spec.Job{Text: jb.Text, Times: jb.Times, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
+	out := &spec.Job{Text: jb.Text, OccurrenceCount: jb.OccurrenceCount, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
 	for _, st := range jb.Steps {
 		out.Steps = append(out.Steps, spec.Step{
-			Count: st.Count, Need: spec.Need{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
+			Count: st.Count, Resources: spec.Resources{MilliCPU: st.MilliCPU, MemoryMB: st.MemoryMB, GPU: st.GPU},
 			Estimate: millis(st.EstimateMillis), After: st.After, Checkpointing: st.Checkpointing, Gang: st.Gang,
-			OneRack: st.OneRack, Label: st.Label, DataRack: st.DataRack, MaxPerWorker: st.MaxPerWorker, Lasting: st.Lasting,
-			Image: st.Image, Target: millis(st.TargetMillis), Filling: st.Filling, MaxAway: st.MaxAway,
+			OneRack: st.OneRack, Label: st.Label, DataRack: st.DataRack, MaxPerWorker: st.MaxPerWorker, LongRunning: st.LongRunning,
+			Image: st.Image, TargetLatency: millis(st.TargetMillis), BestEffort: st.BestEffort, MaxUnavailable: st.MaxUnavailable,
 		})
 	}
 	return out
@@ -145,7 +145,7 @@
 	Number         int64    `json:"number"`
 	Machines       []string `json:"machines"`
 	DeadlineMillis int64    `json:"deadlineMillis"`
-	AtOnce         int      `json:"atOnce"`
+	MaxParallel    int      `json:"atOnce"`
 }
 
 // Answer is the body of every answer.
@@ -177,7 +177,7 @@
 		return ctx.JSONBlob(http.StatusOK, rep.Document)
 	})
 	ech.POST("/v1/jobs", sv.submit)
-	ech.GET("/v1/jobs", sv.about(jobapi.State))
+	ech.GET("/v1/jobs", sv.about(jobapi.GetState))
 	ech.DELETE("/v1/jobs", sv.about(jobapi.Cancel))
 	ech.PUT("/v1/workers/:id", sv.announce)
 	ech.DELETE("/v1/workers/:id", func(ctx echo.Context) error {
@@ -201,7 +201,7 @@
 
 func write(ctx echo.Context, rep jobapi.Reply) error {
 	rep.SetRetryAfter(ctx.Response().Header())
-	return ctx.JSON(rep.Outcome.Status(), Answer{
+	return ctx.JSON(rep.Outcome.HTTPStatus(), Answer{
 		Outcome: rep.Outcome, Reason: rep.Reason, Phase: rep.Phase, Pending: rep.Pending, Done: rep.Done,
 	})
 }
@@ -255,7 +255,7 @@
 	if _, err := read(ctx, &ann); err != nil {
 		return unreadable(ctx, err)
 	}
-	if string(ann.ID) != ctx.Param("id") || ann.Address == "" || ann.Pool == "" || ann.Born <= 0 {
+	if string(ann.ID) != ctx.Param("id") || ann.Address == "" || ann.Pool == "" || ann.Incarnation <= 0 {
 		return write(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: "id, address, pool or born missing"})
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: &ann})
@@ -267,6 +267,6 @@
 		return unreadable(ctx, err)
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: &store.Wave{
-		Number: wv.Number, Machines: wv.Machines, AtOnce: wv.AtOnce, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
+		Number: wv.Number, Machines: wv.Machines, MaxParallel: wv.MaxParallel, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
 	}})
 }
--- a/internal/contract/operator/client.go
+++ b/internal/contract/operator/client.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 
 	"github.com/pkg/errors"
@@ -28,7 +28,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const maxAnswerBytes = 64 << 20
 
@@ -39,9 +39,9 @@
 	HTTP  http.Client
 }
 
-// Command sends a request that the state machine answers.
-func (cl *Client) Command(ctx context.Context, path string, body any) (command.Answer, error) {
-	var ans command.Answer
+// SendCommand sends a request that the state machine answers.
+func (cl *Client) SendCommand(ctx context.Context, path string, body any) (command.Result, error) {
+	var ans command.Result
 	err := cl.do(ctx, http.MethodPost, path, body, &ans)
 	return ans, err
 }
@@ -109,7 +109,7 @@
 
 // refusalOf reads the refusal out of an answer, where it holds one.
 func refusalOf(status string, answer []byte) error {
-	var ans command.Answer
+	var ans command.Result
 	if json.Unmarshal(answer, &ans) == nil && ans.Refusal != nil {
 		return errors.Errorf("%s: %s", ans.Refusal.Kind, ans.Refusal.Message)
 	}
@@ -117,4 +117,4 @@
 }
 
 // IsUnreachable reports whether no control process answered.
-func IsUnreachable(err error) bool { return fault.Is(err, KindUnreachable) }
+func IsUnreachable(err error) bool { return errkind.Is(err, KindUnreachable) }
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -13,29 +13,29 @@
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 
 	weir "greengageweir"
 )
 
-// ApplyRequest asks for a configuration to follow number Expected.
-type ApplyRequest struct {
+// ApplyConfigRequest asks for a configuration to follow number Expected.
+type ApplyConfigRequest struct {
 	RequestID string       `json:"requestId"`
 	Expected  uint64       `json:"expected"`
 	Note      string       `json:"note,omitempty"`
 	Config    model.Config `json:"config"`
 }
 
-// ConfigAnswer is the configuration in force.
-type ConfigAnswer struct {
+// ConfigResponse is the configuration in force.
+type ConfigResponse struct {
 	Number   uint64       `json:"number"`
 	Checksum string       `json:"checksum"`
 	Config   model.Config `json:"config"`
 }
 
-// WaveRequest creates a wave.
-type WaveRequest struct {
+// CreateWaveRequest creates a wave.
+type CreateWaveRequest struct {
 	RequestID string             `json:"requestId"`
 	Wave      command.WaveCreate `json:"wave"`
 }
@@ -59,32 +59,32 @@
 	Reason    string `json:"reason"`
 }
 
-// ForgetRequest removes a process that is gone for good from the roll-out.
-type ForgetRequest struct {
+// ForgetProcessRequest removes a process that is gone for good from the roll-out.
+type ForgetProcessRequest struct {
 	RequestID string `json:"requestId"`
 }
 
-// StatusAnswer is the state of the fleet.
-type StatusAnswer struct {
-	Leader    string               `json:"leader"`
-	Index     uint64               `json:"index"`
-	Number    uint64               `json:"number"`
-	Processes []peerapi.Process    `json:"processes"`
-	Pools     []machine.PoolStatus `json:"pools"`
-	Moves     uint64               `json:"moves"`
-	Demand    []peerapi.Demand     `json:"demand"`
+// StatusResponse is the state of the fleet.
+type StatusResponse struct {
+	Leader       string                 `json:"leader"`
+	Index        uint64                 `json:"index"`
+	ConfigNumber uint64                 `json:"number"`
+	Processes    []peerapi.EntryProcess `json:"processes"`
+	Pools        []fsm.PoolStatus       `json:"pools"`
+	Moves        uint64                 `json:"moves"`
+	Demand       []peerapi.Demand       `json:"demand"`
 }
 
 // InForce reports whether a configuration is in force at each process that is
 // heard, and names those that are not heard.
-func (sa StatusAnswer) InForce(number uint64) (inForce bool, unheard []string) {
-	inForce = sa.Number >= number && len(sa.Processes) > 0
+func (sa StatusResponse) InForce(number uint64) (inForce bool, unheard []string) {
+	inForce = sa.ConfigNumber >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
-		if !pr.Heard {
+		if !pr.Reporting {
 			unheard = append(unheard, pr.ID)
 			continue
 		}
-		if pr.Number < number {
+		if pr.ConfigNumber < number {
 			inForce = false
 		}
 	}
@@ -94,7 +94,7 @@
 // WaveStatus is a wave with its progress.
 type WaveStatus struct {
 	Name      string            `json:"name"`
-	State     machine.WaveState `json:"state"`
+	State     fsm.WaveState     `json:"state"`
 	Todo      int               `json:"todo"`
 	Active    []weir.InstanceID `json:"active"`
 	Done      int               `json:"done"`
@@ -112,8 +112,8 @@
 	Entry string `json:"entry,omitempty"`
 }
 
-// UsageAnswer is the settled usage and whether reports are still under way.
-type UsageAnswer struct {
-	Index uint64              `json:"index"`
-	Lines []machine.UsageLine `json:"lines"`
+// UsageResponse is the settled usage and whether reports are still under way.
+type UsageResponse struct {
+	Index uint64          `json:"index"`
+	Lines []fsm.UsageLine `json:"lines"`
 }
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -64,15 +64,15 @@
 	Entry string    `json:"entry"`
 	Zone  weir.Zone `json:"zone"`
 	// Started tells two processes under one name apart.
-	Started time.Time `json:"started"`
-	View    uint64    `json:"view"`
-	Number  uint64    `json:"number"`
+	Started      time.Time `json:"started"`
+	View         uint64    `json:"view"`
+	ConfigNumber uint64    `json:"number"`
 	// Full is set when Statuses holds all instances that the entry owns.
-	Full     bool                  `json:"full,omitempty"`
-	Statuses []command.Status      `json:"statuses,omitempty"`
-	Consents []command.Consent     `json:"consents,omitempty"`
-	Usage    []command.UsageReport `json:"usage,omitempty"`
-	Demand   []Demand              `json:"demand,omitempty"`
+	Full     bool                        `json:"full,omitempty"`
+	Statuses []command.Status            `json:"statuses,omitempty"`
+	Consents []command.DrainConfirmation `json:"consents,omitempty"`
+	Usage    []command.UsageReport       `json:"usage,omitempty"`
+	Demand   []Demand                    `json:"demand,omitempty"`
 }
 
 // Demand is the load of one service at one entry instance since the last
@@ -84,22 +84,22 @@
 	Waiting int              `json:"waiting"`
 }
 
-// ReportAnswer is the leader's answer.
-type ReportAnswer struct {
+// ReportResponse is the leader's answer.
+type ReportResponse struct {
 	// WantFull asks for a full report.
-	WantFull bool                `json:"wantFull,omitempty"`
-	Acked    []command.UsageMark `json:"acked,omitempty"`
+	WantFull bool               `json:"wantFull,omitempty"`
+	Acked    []command.UsageAck `json:"acked,omitempty"`
 }
 
-// Process is an entry instance as the leader knows it.
-type Process struct {
-	ID     string    `json:"id"`
-	Zone   weir.Zone `json:"zone"`
-	View   uint64    `json:"view"`
-	Number uint64    `json:"number"`
-	// Heard is false for a process that has not reported lately.
-	Heard   bool      `json:"heard"`
-	HeardAt time.Time `json:"heardAt"`
+// EntryProcess is an entry instance as the leader knows it.
+type EntryProcess struct {
+	ID           string    `json:"id"`
+	Zone         weir.Zone `json:"zone"`
+	View         uint64    `json:"view"`
+	ConfigNumber uint64    `json:"number"`
+	// Reporting is false for a process that has not reported lately.
+	Reporting    bool      `json:"heard"`
+	LastReportAt time.Time `json:"heardAt"`
 }
 
 // Advert tells how many slots of a service are free at an entry instance.
@@ -127,20 +127,20 @@
 	ReserveRefused ReserveState = "refused"
 )
 
-// ReserveAnswer is a replica's answer.
-type ReserveAnswer struct {
-	State   ReserveState `json:"state"`
-	Attempt string       `json:"attempt,omitempty"`
-	Answer  *weir.Answer `json:"answer,omitempty"`
-	Reason  string       `json:"reason,omitempty"`
+// ReserveResponse is a replica's answer.
+type ReserveResponse struct {
+	State   ReserveState   `json:"state"`
+	Attempt string         `json:"attempt,omitempty"`
+	Answer  *weir.Response `json:"answer,omitempty"`
+	Reason  string         `json:"reason,omitempty"`
 }
 
 // Finish records the outcome of an attempt; an outcome that did not run frees
 // the key.
 type Finish struct {
-	Key     string      `json:"key"`
-	Attempt string      `json:"attempt"`
-	Answer  weir.Answer `json:"answer"`
+	Key     string        `json:"key"`
+	Attempt string        `json:"attempt"`
+	Answer  weir.Response `json:"answer"`
 }
 
 // Join asks for the outcome of an attempt that is in flight.
@@ -154,8 +154,8 @@
 	After string `json:"after"`
 }
 
-// DumpAnswer is a page of records.
-type DumpAnswer struct {
+// DumpResponse is a page of records.
+type DumpResponse struct {
 	Records []Record `json:"records"`
 	// Floor is the stamp above which the replica remembers every grant.
 	Floor time.Time `json:"floor"`
@@ -164,7 +164,7 @@
 
 // Record is one record of the ledger.
 type Record struct {
-	Key     string       `json:"key"`
-	Attempt string       `json:"attempt"`
-	Answer  *weir.Answer `json:"answer,omitempty"`
+	Key     string         `json:"key"`
+	Attempt string         `json:"attempt"`
+	Answer  *weir.Response `json:"answer,omitempty"`
 }
--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -18,7 +18,7 @@
 	"net/http"
 	"strconv"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/link/httpconn"
 
@@ -38,7 +38,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	startPath = "/v1/runs/start"
@@ -50,12 +50,12 @@
 )
 
 type request struct {
-	Life    weir.WorkerLife  `json:"life"`
-	Order   *weir.RunOrder   `json:"order,omitempty"`
-	Renew   *weir.RenewOrder `json:"renew,omitempty"`
-	Key     weir.RunKey      `json:"key,omitzero"`
-	Percent int              `json:"percent,omitempty"`
-	Token   uint64           `json:"token,omitempty"`
+	Life    weir.WorkerIncarnation `json:"life"`
+	Order   *weir.RunOrder         `json:"order,omitempty"`
+	Renew   *weir.RenewOrder       `json:"renew,omitempty"`
+	Key     weir.RunKey            `json:"key,omitzero"`
+	Percent int                    `json:"percent,omitempty"`
+	Token   uint64                 `json:"token,omitempty"`
 }
 
 // Client sends orders to workers.
@@ -73,7 +73,7 @@
 	}
 	resp, err := cl.Get(body.Life.Address).Do(ctx, httpconn.Request{
 		Method: http.MethodPost, Path: path, Body: data, Repeatable: true,
-		Fields: []httpconn.Field{{Name: echo.HeaderContentType, Value: echo.MIMEApplicationJSON}},
+		Headers: []httpconn.Header{{Name: echo.HeaderContentType, Value: echo.MIMEApplicationJSON}},
 	})
 	if err != nil {
 		return err
@@ -88,25 +88,25 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (cl *Client) Start(ctx context.Context, life weir.WorkerLife, order weir.RunOrder) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, startPath, request{Life: life, Order: &order}, &ans)
 	return ans, err
 }
 
 // Stop implements weir.TaskWorkers.
-func (cl *Client) Stop(ctx context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (ans weir.OrderAnswer, err error) {
+func (cl *Client) Stop(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, stopPath, request{Life: life, Key: key, Token: token}, &ans)
 	return ans, err
 }
 
-// Pace implements weir.TaskWorkers.
-func (cl *Client) Pace(ctx context.Context, life weir.WorkerLife, key weir.RunKey, percent int, token uint64) (ans weir.OrderAnswer, err error) {
+// Throttle implements weir.TaskWorkers.
+func (cl *Client) Throttle(ctx context.Context, life weir.WorkerIncarnation, key weir.RunKey, percent int, token uint64) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, pacePath, request{Life: life, Key: key, Percent: percent, Token: token}, &ans)
 	return ans, err
 }
 
 // Renew implements weir.TaskWorkers.
-func (cl *Client) Renew(ctx context.Context, life weir.WorkerLife, order weir.RenewOrder) (rep weir.WorkerReport, err error) {
+func (cl *Client) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (rep weir.WorkerReport, err error) {
 	err = cl.post(ctx, leasePath, request{Life: life, Renew: &order}, &rep)
 	return rep, err
 }
@@ -116,7 +116,7 @@
 	ech := ops.NewEcho()
 	ech.POST(startPath, serve(func(ctx context.Context, req request) (any, error) {
 		if req.Order == nil {
-			return weir.OrderAnswer{Refusal: weir.RefusedInvalid}, nil
+			return weir.OrderResponse{Refusal: weir.RefusedInvalid}, nil
 		}
 		return worker.Start(ctx, req.Life, *req.Order)
 	}))
@@ -124,7 +124,7 @@
 		return worker.Stop(ctx, req.Life, req.Key, req.Token)
 	}))
 	ech.POST(pacePath, serve(func(ctx context.Context, req request) (any, error) {
-		return worker.Pace(ctx, req.Life, req.Key, req.Percent, req.Token)
+		return worker.Throttle(ctx, req.Life, req.Key, req.Percent, req.Token)
 	}))
 	ech.POST(leasePath, serve(func(ctx context.Context, req request) (any, error) {
 		if req.Renew == nil {
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -16,10 +16,10 @@
 
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/control/serve"
-	"greengageweir/internal/duty/access"
+	"greengageweir/internal/control/rpc"
+	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	"github.com/labstack/echo/v4"
 
@@ -30,7 +30,7 @@
 
 // API serves operators.
 type API struct {
-	Service *serve.Service
+	Service *rpc.Service
 }
 
 // Routes adds the interface's routes.
@@ -73,12 +73,12 @@
 
 // statusOf maps refusals to HTTP.
 var statusOf = map[command.RefusalKind]int{
-	command.RefusedConflict: http.StatusConflict,
-	command.RefusedInvalid:  http.StatusUnprocessableEntity,
-	command.RefusedUnknown:  http.StatusNotFound,
-	command.RefusedState:    http.StatusConflict,
-	command.RefusedBudget:   http.StatusConflict,
-	command.RefusedStale:    http.StatusConflict,
+	command.RefusedConflict:   http.StatusConflict,
+	command.RefusedInvalid:    http.StatusUnprocessableEntity,
+	command.RefusedNotFound:   http.StatusNotFound,
+	command.RefusedWrongState: http.StatusConflict,
+	command.RefusedBudget:     http.StatusConflict,
+	command.RefusedStale:      http.StatusConflict,
 }
 
 // propose commits an operator's command and answers with the result. An
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithTimeout(ech.Request().Context(), requestTimeout)
 	defer cancel()
 	cmd.At = ap.Service.Clock.Now()
-	cmd.Operator = access.Operator(ech)
+	cmd.Operator = auth.Operator(ech)
 	ans, err := ap.Service.Propose(ctx, cmd)
 	if err != nil {
 		return unavailable(err)
@@ -112,7 +112,7 @@
 // apply turns a whole configuration into the difference from the one that the
 // operator expects. The state machine checks the number again.
 func (ap *API) apply(ech echo.Context) error {
-	var req operator.ApplyRequest
+	var req operator.ApplyConfigRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
@@ -122,32 +122,32 @@
 		return unavailable(err)
 	}
 	var delta model.Delta
-	ap.Service.Machine.Read(func(rd machine.Reader) { delta = model.Diff(rd.Config(), req.Config) })
+	ap.Service.Machine.Read(func(rd fsm.Reader) { delta = model.Diff(rd.Config(), req.Config) })
 	return ap.propose(ech, command.Command{RequestID: req.RequestID, Config: &command.ConfigApply{
 		Expected: req.Expected, Delta: delta, Checksum: req.Config.Checksum(), Note: req.Note,
 	}})
 }
 
 func (ap *API) config(context.Context, echo.Context) (any, error) {
-	var ans operator.ConfigAnswer
-	ap.Service.Machine.Read(func(rd machine.Reader) {
-		ans = operator.ConfigAnswer{Number: rd.Number(), Config: rd.Config()}
+	var ans operator.ConfigResponse
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
+		ans = operator.ConfigResponse{Number: rd.ConfigNumber(), Config: rd.Config()}
 	})
 	ans.Checksum = ans.Config.Checksum()
 	return ans, nil
 }
 
 func (ap *API) history(context.Context, echo.Context) (any, error) {
-	var list []machine.Change
-	ap.Service.Machine.Read(func(rd machine.Reader) { list = rd.History() })
+	var list []fsm.ConfigChange
+	ap.Service.Machine.Read(func(rd fsm.Reader) { list = rd.History() })
 	return list, nil
 }
 
 func (ap *API) status(ctx context.Context, ech echo.Context) (any, error) {
 	st := ap.Service.Node.Status()
-	ans := operator.StatusAnswer{Leader: st.Leader}
-	ap.Service.Machine.Read(func(rd machine.Reader) {
-		ans.Index, ans.Number, ans.Pools, ans.Moves = rd.Index(), rd.Number(), rd.Pools(), rd.Moves()
+	ans := operator.StatusResponse{Leader: st.Leader}
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
+		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.ConfigNumber(), rd.Pools(), rd.CompletedMoves()
 	})
 	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
 		ans.Demand = append(ans.Demand, dm)
@@ -163,7 +163,7 @@
 
 func (ap *API) instances(context.Context, echo.Context) (any, error) {
 	var list []operator.InstanceStatus
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		for id, mem := range rd.Members() {
 			sta := rd.Statuses()[id]
 			list = append(list, operator.InstanceStatus{Member: mem, Up: sta.Up, Entry: sta.Entry})
@@ -176,7 +176,7 @@
 func (ap *API) waves(context.Context, echo.Context) (any, error) {
 	list := []operator.WaveStatus{}
 	now := ap.Service.Clock.Now()
-	ap.Service.Machine.Read(func(rd machine.Reader) {
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		for _, wv := range rd.Waves() {
 			list = append(list, waveStatus(wv, now))
 		}
@@ -184,7 +184,7 @@
 	return list, nil
 }
 
-func waveStatus(wv *machine.Wave, now time.Time) operator.WaveStatus {
+func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
 		Name: wv.Name, State: wv.State, Todo: len(wv.Todo), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
 		Active: names(wv.Active), Stuck: names(wv.Stuck),
@@ -212,7 +212,7 @@
 }
 
 func (ap *API) createWave(ech echo.Context) error {
-	var req operator.WaveRequest
+	var req operator.CreateWaveRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 }
 
 func (ap *API) forget(ech echo.Context) error {
-	var req operator.ForgetRequest
+	var req operator.ForgetProcessRequest
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
@@ -262,9 +262,9 @@
 }
 
 func (ap *API) usage(context.Context, echo.Context) (any, error) {
-	var ans operator.UsageAnswer
-	ap.Service.Machine.Read(func(rd machine.Reader) {
-		ans = operator.UsageAnswer{Index: rd.Index(), Lines: rd.Usage()}
+	var ans operator.UsageResponse
+	ap.Service.Machine.Read(func(rd fsm.Reader) {
+		ans = operator.UsageResponse{Index: rd.Index(), Lines: rd.Usage()}
 	})
 	return ans, nil
 }
--- a/internal/control/serve/report.go
+++ b/internal/control/rpc/report.go
@@ -1,4 +1,4 @@
-package serve
+package rpc
 
 import (
 	"context"
@@ -6,20 +6,20 @@
 
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 
 	weir "greengageweir"
 )
 
 // Report takes an entry instance's report, here or at the leader.
-func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportAnswer, error) {
-	if !sv.Leads() {
-		var ans peerapi.ReportAnswer
+func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportResponse, error) {
+	if !sv.IsLeader() {
+		var ans peerapi.ReportResponse
 		err := sv.atLeader(ctx, peerapi.EntryReport, rep, &ans)
 		return ans, err
 	}
 	now := sv.Clock.Now()
-	ans := peerapi.ReportAnswer{WantFull: sv.Registry.Heard(now, rep)}
+	ans := peerapi.ReportResponse{WantFull: sv.Registry.RecordReport(now, rep)}
 	if err := sv.register(ctx, rep, now); err != nil {
 		return ans, err
 	}
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, co := range rep.Consents {
-		if _, err := sv.proposeHere(ctx, command.Command{At: now, Consent: &co}); err != nil {
+		if _, err := sv.proposeHere(ctx, command.Command{At: now, DrainConfirmation: &co}); err != nil {
 			return ans, err
 		}
 	}
@@ -44,7 +44,7 @@
 // register makes an entry instance known on its first report.
 func (sv *Service) register(ctx context.Context, rep peerapi.Report, now time.Time) error {
 	known := false
-	sv.Machine.Read(func(rd machine.Reader) { _, known = rd.Processes()[rep.Entry] })
+	sv.Machine.Read(func(rd fsm.Reader) { _, known = rd.Processes()[rep.Entry] })
 	if known {
 		return nil
 	}
@@ -57,7 +57,7 @@
 func (sv *Service) changed(rep peerapi.Report) []command.Status {
 	var items []command.Status
 	named := make(map[weir.InstanceID]bool, len(rep.Statuses))
-	sv.Machine.Read(func(rd machine.Reader) {
+	sv.Machine.Read(func(rd fsm.Reader) {
 		for _, sta := range rep.Statuses {
 			named[sta.Instance] = true
 			if rd.Statuses()[sta.Instance] != sta {
--- a/internal/control/serve/service.go
+++ b/internal/control/rpc/service.go
@@ -5,7 +5,7 @@
 //
 //	sv := &serve.Service{Self: "c1", Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: links, Clock: clk}
 //	server := &peer.Server{Addr: addr, Token: token, Handle: sv.Handle, Gone: hb.Gone}
-package serve
+package rpc
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/control/hub"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/state/node"
@@ -36,13 +36,13 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Service answers calls. Set the exported fields before use.
 type Service struct {
 	Self     string
 	Node     *node.Node
-	Machine  *machine.Machine
+	Machine  *fsm.Machine
 	Hub      *hub.Hub
 	Registry *registry.Registry
 	Links    *links.Links
@@ -81,34 +81,34 @@
 	case peerapi.ControlProcesses:
 		return sv.Processes(ctx)
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
-// Leads reports whether this process is the leader as far as it knows.
-func (sv *Service) Leads() bool { return sv.Node.Status().Role == replica.Leader }
+// IsLeader reports whether this process is the leader as far as it knows.
+func (sv *Service) IsLeader() bool { return sv.Node.Status().Role == replica.Leader }
 
 // Propose commits a command, here or at the leader.
-func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Answer, error) {
-	if sv.Leads() {
+func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Result, error) {
+	if sv.IsLeader() {
 		return sv.proposeHere(ctx, cmd)
 	}
-	var ans command.Answer
+	var ans command.Result
 	err := sv.atLeader(ctx, peerapi.ControlPropose, cmd, &ans)
 	return ans, err
 }
 
-func (sv *Service) proposeHere(ctx context.Context, cmd command.Command) (command.Answer, error) {
+func (sv *Service) proposeHere(ctx context.Context, cmd command.Command) (command.Result, error) {
 	data, err := cmd.Encode()
 	if err != nil {
-		return command.Answer{}, &Error{Op: "propose", Kind: KindDecode, Err: err}
+		return command.Result{}, &Error{Op: "propose", Kind: KindDecode, Err: err}
 	}
 	value, err := sv.Node.Propose(ctx, data)
 	if err != nil {
-		return command.Answer{}, err
+		return command.Result{}, err
 	}
-	ans, ok := value.(command.Answer)
+	ans, ok := value.(command.Result)
 	if !ok {
-		return command.Answer{}, &Error{Op: "propose", Kind: KindDecode}
+		return command.Result{}, &Error{Op: "propose", Kind: KindDecode}
 	}
 	return ans, nil
 }
@@ -122,13 +122,13 @@
 }
 
 // Processes returns the state of the roll-out as the leader knows it.
-func (sv *Service) Processes(ctx context.Context) ([]peerapi.Process, error) {
-	var list []peerapi.Process
-	if !sv.Leads() {
+func (sv *Service) Processes(ctx context.Context) ([]peerapi.EntryProcess, error) {
+	var list []peerapi.EntryProcess
+	if !sv.IsLeader() {
 		err := sv.atLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
 		return list, err
 	}
-	sv.Machine.Read(func(rd machine.Reader) {
+	sv.Machine.Read(func(rd fsm.Reader) {
 		list = sv.Registry.Processes(sv.Clock.Now(), rd.Processes())
 	})
 	return list, nil
@@ -148,7 +148,7 @@
 	defer ticker.Stop()
 	for {
 		var index uint64
-		sv.Machine.Read(func(rd machine.Reader) { index = rd.Index() })
+		sv.Machine.Read(func(rd fsm.Reader) { index = rd.Index() })
 		if index >= ans.Index {
 			return nil
 		}
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -16,10 +16,10 @@
 	"runtime"
 	"time"
 
-	"greengageweir/internal/duty/access"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/auth"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logs"
+	"greengageweir/internal/duty/logging"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
@@ -33,7 +33,7 @@
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	maxBody         = "32M"
@@ -48,8 +48,8 @@
 // before Run.
 type Server struct {
 	Addr      string
-	Operators *access.Operators
-	Level     *logs.Level
+	Operators *auth.Operators
+	Level     *logging.Level
 	Version   string
 	// Dump returns the process's state; it must hold no secrets.
 	Dump func() any
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/peer"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -32,20 +32,20 @@
 type Mesh interface {
 	ledger.Caller
 	Ready(id string) bool
-	Pick(service weir.ServiceName) (string, bool)
+	PickPeer(service weir.ServiceName) (string, bool)
 	Has(service weir.ServiceName) bool
 	Exhausted(id string, service weir.ServiceName)
 }
 
 // Dispatcher implements weir.Dispatcher. Set the exported fields first.
 type Dispatcher struct {
-	Self  string
-	Zone  weir.Zone
-	Sites []ledger.Site
-	Table *place.Table
-	Mesh  Mesh
-	Store *ledger.Store
-	Clock weir.Clock
+	Self    string
+	Zone    weir.Zone
+	Entries []ledger.EntryInstance
+	Table   *placement.Table
+	Mesh    Mesh
+	Store   *ledger.Store
+	Clock   weir.Clock
 
 	mu      sync.Mutex
 	flights map[string]*flight
@@ -59,7 +59,7 @@
 	// won is set once the attempt has claimed the key.
 	won    atomic.Bool
 	done   chan struct{}
-	answer weir.Answer
+	answer weir.Response
 }
 
 // CallParams carries a request to another entry instance.
@@ -70,8 +70,8 @@
 	Remaining time.Duration `json:"remainingNanos"`
 }
 
-// Here returns the request with its deadline by the receiver's clock.
-func (cp CallParams) Here(now time.Time) weir.Request {
+// LocalRequest returns the request with its deadline by the receiver's clock.
+func (cp CallParams) LocalRequest(now time.Time) weir.Request {
 	req := cp.Request
 	req.Deadline = now.Add(cp.Remaining)
 	return req
@@ -79,17 +79,17 @@
 
 // callAt calls a method with a request at another entry instance, and waits
 // for the answer until the deadline and some time more.
-func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, more time.Duration) (weir.Answer, error) {
+func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, more time.Duration) (weir.Response, error) {
 	remaining := req.Deadline.Sub(dp.Clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, remaining+more)
 	defer cancel()
-	var ans weir.Answer
+	var ans weir.Response
 	err := dp.Mesh.Call(ctx, id, method, CallParams{Request: req, Remaining: remaining}, &ans)
 	return ans, err
 }
 
 // Do returns the answer to a caller's request.
-func (dp *Dispatcher) Do(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) Do(ctx context.Context, req weir.Request) weir.Response {
 	begin := dp.Clock.Now()
 	ans := dp.route(ctx, req)
 	metrics.GetOrCreateCounter(`weir_answers_total{kind="` + string(ans.Kind) + `"}`).Inc()
@@ -97,42 +97,42 @@
 	return ans
 }
 
-func (dp *Dispatcher) route(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) route(ctx context.Context, req weir.Request) weir.Response {
 	if req.Key == "" {
 		return dp.place(ctx, req)
 	}
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
-		return weir.AnswerNotRun(err.Error())
+		return weir.NotRunResponse(err.Error())
 	}
 	if !dp.Store.InRange(dp.Clock.Now(), key) {
-		return weir.AnswerUnknown("the key's time is past retention or in the future")
+		return weir.UnknownResponse("the key's time is past retention or in the future")
 	}
-	home := key.Home(dp.zones())
+	home := key.HomeZone(dp.zones())
 	for _, id := range dp.leaders(home, req.Key) {
 		if id == dp.Self {
-			return dp.Lead(ctx, req)
+			return dp.RunKeyed(ctx, req)
 		}
 		ans, reached := dp.callHome(ctx, id, req)
 		if reached {
 			return ans
 		}
 	}
-	return weir.AnswerUnknown("no entry instance of the key's home " + string(home) + " is reached")
+	return weir.UnknownResponse("no entry instance of the key's home " + string(home) + " is reached")
 }
 
 // callHome runs the request at another entry instance. It reports false where
 // the request certainly did not get there.
-func (dp *Dispatcher) callHome(ctx context.Context, id string, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) callHome(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
 	if !dp.Mesh.Ready(id) {
-		return weir.Answer{}, false
+		return weir.Response{}, false
 	}
 	ans, err := dp.callAt(ctx, id, peerapi.EntryCall, req, 2*flightGrace)
-	if fault.Is(err, peer.KindNotSent) {
-		return weir.Answer{}, false
+	if errkind.Is(err, peer.KindNotSent) {
+		return weir.Response{}, false
 	}
 	if err != nil {
-		return weir.AnswerUnknown("home " + id + " did not answer"), true
+		return weir.UnknownResponse("home " + id + " did not answer"), true
 	}
 	return ans, true
 }
@@ -140,7 +140,7 @@
 func (dp *Dispatcher) zones() []weir.Zone {
 	seen := map[weir.Zone]bool{}
 	var zones []weir.Zone
-	for _, si := range dp.Sites {
+	for _, si := range dp.Entries {
 		if !seen[si.Zone] {
 			seen[si.Zone] = true
 			zones = append(zones, si.Zone)
@@ -153,7 +153,7 @@
 // choice first.
 func (dp *Dispatcher) leaders(zone weir.Zone, key string) []string {
 	var ids []string
-	for _, si := range dp.Sites {
+	for _, si := range dp.Entries {
 		if si.Zone == zone {
 			ids = append(ids, si.Entry)
 		}
@@ -162,9 +162,9 @@
 	return ids
 }
 
-// Lead claims the key and runs the request, or returns what is recorded. A
+// RunKeyed claims the key and runs the request, or returns what is recorded. A
 // second request with the same key waits for the first.
-func (dp *Dispatcher) Lead(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) RunKeyed(ctx context.Context, req weir.Request) weir.Response {
 	attempt := dp.Self + "/" + uuid.NewString()
 	fl, first := dp.startFlight(req.Key, attempt)
 	if first {
@@ -219,34 +219,34 @@
 	close(fl.done)
 }
 
-func (fl *flight) wait(ctx context.Context) weir.Answer {
+func (fl *flight) wait(ctx context.Context) weir.Response {
 	select {
 	case <-fl.done:
 		return fl.answer
 	case <-ctx.Done():
-		return weir.AnswerUnknown("a request with this key is still in flight")
+		return weir.UnknownResponse("a request with this key is still in flight")
 	}
 }
 
-// Join returns the outcome of an attempt that is in flight here. Only one that
+// AwaitAttempt returns the outcome of an attempt that is in flight here. Only one that
 // has claimed the key can be waited for: two leaders that both lost the claim
 // would else wait for each other.
-func (dp *Dispatcher) Join(ctx context.Context, jo peerapi.Join) weir.Answer {
+func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Response {
 	dp.mu.Lock()
 	fl, ok := dp.flights[jo.Key]
 	dp.mu.Unlock()
 	if !ok || fl.attempt != jo.Attempt || !fl.won.Load() {
-		return weir.AnswerUnknown("the attempt is not in flight")
+		return weir.UnknownResponse("the attempt is not in flight")
 	}
 	return fl.wait(ctx)
 }
 
-func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Answer {
+func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Response {
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
-		return weir.AnswerNotRun(err.Error())
+		return weir.NotRunResponse(err.Error())
 	}
-	claim := dp.group(key.Home(dp.zones())).Claim(ctx, req.Key, fl.attempt)
+	claim := dp.group(key.HomeZone(dp.zones())).Claim(ctx, req.Key, fl.attempt)
 	if claim.Won {
 		fl.won.Store(true)
 		ans := dp.place(ctx, req)
@@ -263,8 +263,8 @@
 }
 
 // askHolder waits for the outcome at the instance that leads the attempt.
-func (dp *Dispatcher) askHolder(ctx context.Context, holder string, jo peerapi.Join, otherwise weir.Answer) weir.Answer {
-	var ans weir.Answer
+func (dp *Dispatcher) askHolder(ctx context.Context, holder string, jo peerapi.Join, otherwise weir.Response) weir.Response {
+	var ans weir.Response
 	if dp.Mesh.Call(ctx, holder, peerapi.LedgerJoin, jo, &ans) != nil {
 		return otherwise
 	}
@@ -276,7 +276,7 @@
 		return gr.(*ledger.Group) // only groups are stored
 	}
 	gr := &ledger.Group{
-		Self: dp.Self, Store: dp.Store, Replicas: ledger.Replicas(dp.Sites, zone), Caller: dp.Mesh, Clock: dp.Clock,
+		Self: dp.Self, Store: dp.Store, Replicas: ledger.Replicas(dp.Entries, zone), Caller: dp.Mesh, Clock: dp.Clock,
 	}
 	dp.groups.Store(zone, gr)
 	return gr
@@ -287,9 +287,9 @@
 
 // place runs a request on a slot. Only a request that certainly did not run,
 // or one that may be repeated, is tried on a second slot.
-func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Answer {
+func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Response {
 	dp.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
-	ans := weir.AnswerNotRun("not tried")
+	ans := weir.NotRunResponse("not tried")
 	ran := false
 	for range maxTries {
 		if !dp.Clock.Now().Before(req.Deadline) || ctx.Err() != nil {
@@ -301,10 +301,10 @@
 		}
 		if next.Kind == weir.NotRun && ran {
 			// An earlier try may have run.
-			next = weir.AnswerUnknown(next.Reason)
+			next = weir.UnknownResponse(next.Reason)
 		}
 		ans = next
-		if ans.Kind == weir.Whole || (!again && !dp.mayRetry(req, ans)) {
+		if ans.Kind == weir.Complete || (!again && !dp.mayRetry(req, ans)) {
 			break
 		}
 		pause(ctx, retryPause)
@@ -330,7 +330,7 @@
 	return fn(&dp.budget)
 }
 
-func (dp *Dispatcher) mayRetry(req weir.Request, ans weir.Answer) bool {
+func (dp *Dispatcher) mayRetry(req weir.Request, ans weir.Response) bool {
 	if !req.Repeatable || ans.Kind != weir.Unknown {
 		return false
 	}
@@ -339,13 +339,13 @@
 
 // tryOnce takes one slot, here, at a peer that advertises one, or here after
 // waiting, and runs the request on it.
-func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Response, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
-		if !fault.Is(err, place.KindNoSlot) {
-			return weir.AnswerNotRun(err.Error()), false
+		if !errkind.Is(err, placement.KindNoSlot) {
+			return weir.NotRunResponse(err.Error()), false
 		}
-		if id, ok := dp.Mesh.Pick(req.Service); ok {
+		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
 			if ans, busy := dp.runAt(ctx, id, req); !busy {
 				return ans, ans.Kind == weir.NotRun
 			}
@@ -358,17 +358,17 @@
 
 // runAt runs the request on a slot of another entry instance. It reports true
 // where that had none, so that nothing ran.
-func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
 	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, patience(req))
 	switch {
-	case fault.Is(err, peer.KindNotSent):
+	case errkind.Is(err, peer.KindNotSent):
 		dp.Mesh.Exhausted(id, req.Service)
-		return weir.Answer{}, true
+		return weir.Response{}, true
 	case err != nil:
-		return weir.AnswerUnknown("entry " + id + " did not answer"), false
+		return weir.UnknownResponse("entry " + id + " did not answer"), false
 	case ans.Kind == weir.NotRun && ans.Reason == ReasonNoSlot:
 		dp.Mesh.Exhausted(id, req.Service)
-		return weir.Answer{}, true
+		return weir.Response{}, true
 	}
 	return ans, false
 }
@@ -376,11 +376,11 @@
 // ReasonNoSlot is the reason of an entry instance that has no free slot.
 const ReasonNoSlot = "no free slot at this entry instance"
 
-// Run runs a peer's request on a free slot of this instance, if there is one.
-func (dp *Dispatcher) Run(ctx context.Context, req weir.Request) weir.Answer {
+// RunOnFreeSlot runs a peer's request on a free slot of this instance, if there is one.
+func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Response {
 	slot, err := dp.Table.TryAcquire(&req)
 	if err != nil {
-		return weir.AnswerNotRun(ReasonNoSlot)
+		return weir.NotRunResponse(ReasonNoSlot)
 	}
 	ans, _ := dp.send(ctx, slot, req)
 	return ans
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
@@ -30,7 +30,7 @@
 type fakeMesh struct {
 	stores map[string]*ledger.Store
 	down   atomic.Bool
-	join   func(ctx context.Context, jo peerapi.Join) weir.Answer
+	join   func(ctx context.Context, jo peerapi.Join) weir.Response
 }
 
 func (fm *fakeMesh) Call(ctx context.Context, id, method string, params, result any) error {
@@ -39,20 +39,20 @@
 	}
 	switch par := params.(type) {
 	case peerapi.Reserve:
-		*result.(*peerapi.ReserveAnswer) = fm.stores[id].Reserve(clock.System{}.Now(), par)
+		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Join:
-		*result.(*weir.Answer) = fm.join(ctx, par)
+		*result.(*weir.Response) = fm.join(ctx, par)
 	default:
 		return errors.New(method)
 	}
 	return nil
 }
-func (fm *fakeMesh) Ready(string) bool                    { return !fm.down.Load() }
-func (fm *fakeMesh) Pick(weir.ServiceName) (string, bool) { return "", false }
-func (fm *fakeMesh) Has(weir.ServiceName) bool            { return false }
-func (fm *fakeMesh) Exhausted(string, weir.ServiceName)   {}
+func (fm *fakeMesh) Ready(string) bool                        { return !fm.down.Load() }
+func (fm *fakeMesh) PickPeer(weir.ServiceName) (string, bool) { return "", false }
+func (fm *fakeMesh) Has(weir.ServiceName) bool                { return false }
+func (fm *fakeMesh) Exhausted(string, weir.ServiceName)       {}
 
 // rig is a dispatcher with endpoints at the given addresses.
 type rig struct {
@@ -72,7 +72,7 @@
 	for _, id := range ids[:len(addrs)] {
 		vw.Members[id] = view.Member{Instance: id, Pool: "desk", Phase: view.Serving}
 	}
-	tb := place.New(clk, "a")
+	tb := placement.New(clk, "a")
 	tb.SetView(vw)
 	for ix, addr := range addrs {
 		require.True(t, tb.Announce(endpoint.Announcement{Instance: ids[ix], Address: addr, State: endpoint.Serving}).Granted)
@@ -83,7 +83,7 @@
 		fm.stores[id] = ledger.NewStore(old, 10*time.Minute, 100)
 	}
 	return &rig{mesh: fm, Dispatcher: &Dispatcher{
-		Self: "a1", Zone: "a", Sites: []ledger.Site{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
+		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
 		Table: tb, Mesh: fm, Store: fm.stores["a1"], Clock: clk,
 	}}
 }
@@ -102,11 +102,11 @@
 }
 
 // lead runs a request as its key's leader, whoever that is by rank.
-func (rg *rig) lead(req weir.Request) weir.Answer {
+func (rg *rig) lead(req weir.Request) weir.Response {
 	if req.Key == "" {
 		return rg.Do(context.Background(), req)
 	}
-	return rg.Lead(context.Background(), req)
+	return rg.RunKeyed(context.Background(), req)
 }
 
 func handler(t *testing.T, fn http.HandlerFunc) string {
@@ -152,9 +152,9 @@
 		keyed      bool
 		want       weir.OutcomeKind
 	}{
-		{"answers", fine, false, true, weir.Whole},
-		{"answers without a key", fine, false, false, weir.Whole},
-		{"server error is the endpoint's own answer", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) }, false, true, weir.Whole},
+		{"answers", fine, false, true, weir.Complete},
+		{"answers without a key", fine, false, false, weir.Complete},
+		{"server error is the endpoint's own answer", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) }, false, true, weir.Complete},
 		{"nobody listens", nil, false, true, weir.NotRun},
 		{"nobody listens, repeatable", nil, true, false, weir.NotRun},
 		{"refuses", refuseAll, false, true, weir.NotRun},
@@ -195,7 +195,7 @@
 	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
 	require.Equal(t, int32(1), runs.Load())
 	runs.Store(0)
-	require.Equal(t, weir.Whole, rg.lead(rg.request(t, true, false)).Kind)
+	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind)
 	require.Equal(t, int32(2), runs.Load())
 }
 
@@ -213,7 +213,7 @@
 	rg := newRig(t, handler(t, refuseAll), handler(t, refuseAll), handler(t, fine))
 	for range 3 {
 		ans := rg.lead(rg.request(t, false, true))
-		require.Contains(t, []weir.OutcomeKind{weir.Whole, weir.NotRun}, ans.Kind)
+		require.Contains(t, []weir.OutcomeKind{weir.Complete, weir.NotRun}, ans.Kind)
 	}
 }
 
@@ -231,7 +231,7 @@
 		go func() {
 			defer wg.Done()
 			ans := rg.lead(req)
-			require.Equal(t, weir.Whole, ans.Kind)
+			require.Equal(t, weir.Complete, ans.Kind)
 			require.Equal(t, "booked", string(ans.Body))
 		}()
 	}
@@ -251,7 +251,7 @@
 	require.Eventually(t, func() bool {
 		req.Deadline = rg.Clock.Now().Add(slowDeadline)
 		ans := rg.lead(req)
-		return ans.Kind == weir.Whole && string(ans.Body) == "booked late"
+		return ans.Kind == weir.Complete && string(ans.Body) == "booked late"
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
@@ -261,7 +261,7 @@
 	rg.mesh.down.Store(true)
 	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
 	require.Zero(t, runs.Load())
-	require.Equal(t, weir.Whole, rg.lead(rg.request(t, true, false)).Kind, "reads go on")
+	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind, "reads go on")
 }
 
 // TestTwoLeadersDoNotWaitForEachOther covers two entry instances that both
@@ -272,13 +272,13 @@
 	for _, id := range []string{"a1", "a2"} {
 		rg.mesh.stores[id].Reserve(rg.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
 	}
-	rg.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Answer {
+	rg.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
 		rg.mu.Lock()
 		ours := rg.flights[req.Key].attempt
 		rg.mu.Unlock()
-		return rg.Join(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
+		return rg.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
 	}
-	answered := make(chan weir.Answer, 1)
+	answered := make(chan weir.Response, 1)
 	go func() { answered <- rg.lead(req) }()
 	select {
 	case ans := <-answered:
@@ -290,7 +290,7 @@
 
 func TestDeadlineTravelsAsRemainingTime(t *testing.T) {
 	there := time.Unix(1_700_000_000, 0) // a clock that is far off
-	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.Here(there)
+	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.LocalRequest(there)
 	require.Equal(t, there.Add(time.Second), req.Deadline)
 }
 
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/fault"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/httpconn"
 
 	"github.com/google/uuid"
@@ -17,7 +17,7 @@
 
 // send runs a request on a slot and gives the slot back. The second result
 // says whether another slot may be tried: the request certainly did not run.
-func (dp *Dispatcher) send(ctx context.Context, slot *place.Slot, req weir.Request) (weir.Answer, bool) {
+func (dp *Dispatcher) send(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+patience(req))
 	defer cancel()
 	begin := dp.Clock.Now()
@@ -26,20 +26,20 @@
 	if err != nil {
 		return brokenAnswer(slot, err)
 	}
-	if reason := resp.Field(endpoint.HeaderRefused); reason != "" {
-		slot.Release(place.Abandoned)
-		return weir.AnswerNotRun("endpoint refused: " + reason), true
+	if reason := resp.Header(endpoint.HeaderRefused); reason != "" {
+		slot.Release(placement.Abandoned)
+		return weir.NotRunResponse("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
-	return weir.Answer{
-		Kind: weir.Whole, Status: resp.Status, ContentType: resp.Field("Content-Type"), Body: resp.Body,
+	return weir.Response{
+		Kind: weir.Complete, Status: resp.Status, ContentType: resp.Header("Content-Type"), Body: resp.Body,
 	}, false
 }
 
-func (dp *Dispatcher) endpointRequest(slot *place.Slot, req weir.Request) httpconn.Request {
+func (dp *Dispatcher) endpointRequest(slot *placement.Slot, req weir.Request) httpconn.Request {
 	out := httpconn.Request{
 		Method: req.Method, Host: string(slot.Instance), Path: req.Path, Body: req.Body, Repeatable: req.Repeatable,
-		Fields: []httpconn.Field{
+		Headers: []httpconn.Header{
 			{Name: endpoint.HeaderLease, Value: slot.Lease.String()},
 			{Name: endpoint.HeaderEntry, Value: dp.Self},
 			{Name: endpoint.HeaderTask, Value: uuid.NewString()},
@@ -48,29 +48,29 @@
 		},
 	}
 	if req.Key != "" {
-		out.Fields = append(out.Fields, httpconn.Field{Name: endpoint.HeaderKey, Value: req.Key})
+		out.Headers = append(out.Headers, httpconn.Header{Name: endpoint.HeaderKey, Value: req.Key})
 	}
 	if req.ContentType != "" {
-		out.Fields = append(out.Fields, httpconn.Field{Name: "Content-Type", Value: req.ContentType})
+		out.Headers = append(out.Headers, httpconn.Header{Name: "Content-Type", Value: req.ContentType})
 	}
 	return out
 }
 
 // brokenAnswer tells what an error on the way means. A deadline counts
 // against the endpoint, since a silent one shows itself in no other way.
-func brokenAnswer(slot *place.Slot, err error) (weir.Answer, bool) {
-	slot.Release(place.Failed)
-	if fault.Is(err, httpconn.KindNotSent) {
-		return weir.AnswerNotRun("endpoint not reached"), true
+func brokenAnswer(slot *placement.Slot, err error) (weir.Response, bool) {
+	slot.Release(placement.Failed)
+	if errkind.Is(err, httpconn.KindNotSent) {
+		return weir.NotRunResponse("endpoint not reached"), true
 	}
-	return weir.AnswerUnknown(err.Error()), false
+	return weir.UnknownResponse(err.Error()), false
 }
 
-func resultOf(status int) place.Result {
+func resultOf(status int) placement.Result {
 	if status >= http.StatusInternalServerError {
-		return place.Failed
+		return placement.Failed
 	}
-	return place.Succeeded
+	return placement.Succeeded
 }
 
 // retryBudget allows retries as a share of the requests, so that retries
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -26,8 +26,8 @@
 	Call(ctx context.Context, entry, method string, params, result any) error
 }
 
-// Site is an entry instance and its zone.
-type Site struct {
+// EntryInstance is an entry instance and its zone.
+type EntryInstance struct {
 	Entry string
 	Zone  weir.Zone
 }
@@ -35,8 +35,8 @@
 // Replicas returns the entry instances that keep the ledger of a zone: up to
 // three, first those of the zone, then those of the zones that follow in
 // order. It depends on the settings only, never on who is alive.
-func Replicas(sites []Site, zone weir.Zone) []string {
-	sorted := append([]Site{}, sites...)
+func Replicas(sites []EntryInstance, zone weir.Zone) []string {
+	sorted := append([]EntryInstance{}, sites...)
 	sort.Slice(sorted, func(a, b int) bool {
 		if sorted[a].Zone != sorted[b].Zone {
 			return after(sorted[a].Zone, zone, sorted[b].Zone)
@@ -72,7 +72,7 @@
 	// Won says that this attempt, and no other, may be dispatched.
 	Won bool
 	// Answer is set where the request is answered already.
-	Answer *weir.Answer
+	Answer *weir.Response
 	// Holder is the attempt that has the key, where there is one.
 	Holder string
 
@@ -83,7 +83,7 @@
 
 type vote struct {
 	replica string
-	answer  peerapi.ReserveAnswer
+	answer  peerapi.ReserveResponse
 }
 
 // Claim asks the replicas for the key. Without a majority nothing is known, so
@@ -114,10 +114,10 @@
 			return cl
 		}
 	}
-	ans := weir.AnswerUnknown(reason)
+	ans := weir.UnknownResponse(reason)
 	cl.Answer = &ans
 	// This attempt will not be dispatched, so what it was granted is freed.
-	go cl.record(weir.AnswerNotRun("not claimed"))
+	go cl.record(weir.NotRunResponse("not claimed"))
 	return cl
 }
 
@@ -142,7 +142,7 @@
 
 // Finish records the outcome. It returns when two replicas have it or the
 // time is up; the rest goes on in the background.
-func (cl *Claim) Finish(ctx context.Context, ans weir.Answer) {
+func (cl *Claim) Finish(ctx context.Context, ans weir.Response) {
 	invariant.Check(cl.Won, "onlyWinnersFinish", "key", cl.key)
 	done := make(chan struct{}, len(cl.gr.Replicas))
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
@@ -167,7 +167,7 @@
 }
 
 // record tells all replicas the outcome without waiting for the caller.
-func (cl *Claim) record(ans weir.Answer) {
+func (cl *Claim) record(ans weir.Response) {
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
 	var wg sync.WaitGroup
 	for _, id := range cl.gr.Replicas {
--- a/internal/entry/ledger/key.go
+++ b/internal/entry/ledger/key.go
@@ -13,16 +13,16 @@
 // Key is a parsed idempotency key: a version 7 UUID (RFC 9562), which carries
 // the time it was made, optionally behind the name of its home zone and a dot.
 type Key struct {
-	Text  string
-	Zone  weir.Zone
-	Stamp time.Time
+	Text      string
+	Zone      weir.Zone
+	Timestamp time.Time
 }
 
 // NewKey makes a key with a home.
 func NewKey(zone weir.Zone, now time.Time) (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return "", &Error{Op: "new key", Kind: KindKey, Err: err}
+		return "", &Error{Op: "new key", Kind: KindInvalidKey, Err: err}
 	}
 	setStamp(&id, now)
 	return string(zone) + "." + id.String(), nil
@@ -45,25 +45,25 @@
 	}
 	id, err := uuid.Parse(rest)
 	if err != nil {
-		return Key{}, &Error{Op: "parse key", Kind: KindKey, Err: err}
+		return Key{}, &Error{Op: "parse key", Kind: KindInvalidKey, Err: err}
 	}
 	if id.Version() != 7 || len(rest) != len(id.String()) {
-		return Key{}, &Error{Op: "parse key", Kind: KindKey}
+		return Key{}, &Error{Op: "parse key", Kind: KindInvalidKey}
 	}
 	var millis int64
 	for ix := range 6 {
 		millis = millis<<8 | int64(id[ix])
 	}
-	return Key{Text: text, Zone: weir.Zone(zone), Stamp: time.UnixMilli(millis)}, nil
+	return Key{Text: text, Zone: weir.Zone(zone), Timestamp: time.UnixMilli(millis)}, nil
 }
 
 // Rank orders candidates for a key by rendezvous hashing (Thaler and
 // Ravishankar, 1998): the highest rank is the first choice.
 func Rank(key, candidate string) uint64 { return xxhash.Sum64String(candidate + "\x00" + key) }
 
-// Home returns the zone that keeps the key's record: its mark, or for a key
+// HomeZone returns the zone that keeps the key's record: its mark, or for a key
 // without one the first choice by rendezvous hashing.
-func (ke Key) Home(zones []weir.Zone) weir.Zone {
+func (ke Key) HomeZone(zones []weir.Zone) weir.Zone {
 	var best weir.Zone
 	var bestRank uint64
 	for _, zone := range zones {
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -52,11 +52,11 @@
 	}
 	switch par := params.(type) {
 	case peerapi.Reserve:
-		*result.(*peerapi.ReserveAnswer) = fm.stores[id].Reserve(fm.clk.Now(), par)
+		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(fm.clk.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
 	case peerapi.Dump:
-		*result.(*peerapi.DumpAnswer) = fm.stores[id].Dump(par.After)
+		*result.(*peerapi.DumpResponse) = fm.stores[id].Dump(par.After)
 	default:
 		return errors.New("unknown method " + method)
 	}
@@ -96,7 +96,7 @@
 	key, err := ParseKey(text)
 	require.NoError(t, err)
 	require.Equal(t, weir.Zone("north"), key.Zone)
-	require.True(t, key.Stamp.Equal(origin))
+	require.True(t, key.Timestamp.Equal(origin))
 	for _, bad := range []string{"", "booking-1", "north.", "north.2f1c4e1e-0b5b-4c9c-9d0e-000000000000", "urn:uuid:018f0000-0000-7000-8000-000000000000"} {
 		_, err := ParseKey(bad)
 		require.Error(t, err, bad)
@@ -109,14 +109,14 @@
 	require.NoError(t, err)
 	key, err := ParseKey(marked)
 	require.NoError(t, err)
-	require.Equal(t, weir.Zone("c"), key.Home(zones))
+	require.Equal(t, weir.Zone("c"), key.HomeZone(zones))
 	counts := map[weir.Zone]int{}
 	for range 4000 {
 		text, err := NewKey("", origin)
 		require.NoError(t, err)
 		plain, err := ParseKey(text[1:])
 		require.NoError(t, err)
-		counts[plain.Home(zones)]++
+		counts[plain.HomeZone(zones)]++
 	}
 	for _, zone := range zones {
 		require.InDelta(t, 1000, counts[zone], 200, "keys without a mark spread evenly")
@@ -124,7 +124,7 @@
 }
 
 func TestReplicasDependOnSettingsOnly(t *testing.T) {
-	sites := []Site{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
+	sites := []EntryInstance{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
 	require.Equal(t, []string{"a1", "a2", "b1"}, Replicas(sites, "a"))
 	require.Equal(t, []string{"b1", "b2", "c1"}, Replicas(sites, "b"))
 	require.Equal(t, []string{"c1", "a1", "a2"}, Replicas(sites, "c"))
@@ -141,7 +141,7 @@
 	early := key(origin.Add(time.Second))
 	require.Equal(t, peerapi.ReserveRefused, st.Reserve(clk.Now(), peerapi.Reserve{Key: early, Attempt: "a"}).State, "below the floor")
 	clk.Advance(10 * time.Second)
-	future := key(clk.Now().Add(MaxSkew + time.Second))
+	future := key(clk.Now().Add(MaxClockSkew + time.Second))
 	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: future, Attempt: "a"}).Reason)
 	k1, k2, k3 := key(clk.Now()), key(clk.Now()), key(clk.Now())
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "a"}).State)
@@ -149,11 +149,11 @@
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).State)
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "a"}).State)
 	require.Equal(t, "ledger full", st.Reserve(clk.Now(), peerapi.Reserve{Key: k3, Attempt: "a"}).Reason)
-	st.Finish(peerapi.Finish{Key: k2, Attempt: "b", Answer: weir.AnswerNotRun("x")})
+	st.Finish(peerapi.Finish{Key: k2, Attempt: "b", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
-	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.AnswerNotRun("x")})
+	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State)
-	whole := weir.Answer{Kind: weir.Whole, Status: 200, Body: []byte("booked")}
+	whole := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
 	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: whole})
 	recorded := st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
@@ -271,7 +271,7 @@
 	fm.restart("a2")
 	fm.recover(t, "a2", ids...)
 	for _, id := range ids {
-		fm.stores[id].Finish(peerapi.Finish{Key: key, Attempt: "lost", Answer: weir.AnswerNotRun("not claimed")})
+		fm.stores[id].Finish(peerapi.Finish{Key: key, Attempt: "lost", Answer: weir.NotRunResponse("not claimed")})
 	}
 	claim := fm.group("a1", ids...).Claim(context.Background(), key, "again")
 	require.False(t, claim.Won, "the key was won before")
--- a/internal/entry/ledger/recover.go
+++ b/internal/entry/ledger/recover.go
@@ -51,7 +51,7 @@
 		case <-time.After(recoverPause):
 		}
 	}
-	rc.Store.Lower(highest(floors))
+	rc.Store.LowerFloor(highest(floors))
 	_ = rc.Logger.Log("level", "info", "msg", "ledger recovered", "keys", rc.Store.Stats().Keys)
 	return nil
 }
@@ -77,7 +77,7 @@
 	after := ""
 	var floor time.Time
 	for {
-		var page peerapi.DumpAnswer
+		var page peerapi.DumpResponse
 		callCtx, cancel := context.WithTimeout(ctx, recoverTimeout)
 		err := rc.Caller.Call(callCtx, id, peerapi.LedgerDump, peerapi.Dump{After: after}, &page)
 		cancel()
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -33,17 +33,17 @@
 
 // The kinds of errors.
 const (
-	KindKey Kind = "the key is not a version 7 UUID, with or without a zone mark"
-	KindAge Kind = "the key's time is out of range"
+	KindInvalidKey    Kind = "the key is not a version 7 UUID, with or without a zone mark"
+	KindKeyOutOfRange Kind = "the key's time is out of range"
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
-	// MaxSkew is how far the clocks of entry instances and of callers that
+	// MaxClockSkew is how far the clocks of entry instances and of callers that
 	// make keys themselves may differ.
-	MaxSkew = 2 * time.Second
+	MaxClockSkew = 2 * time.Second
 	// dumpPage bounds the records of one page.
 	dumpPage = 2000
 	// maxKeptBody bounds a recorded body; a longer one is answered once and
@@ -53,7 +53,7 @@
 
 type record struct {
 	attempt string
-	answer  *weir.Answer
+	answer  *weir.Response
 	// copied records came from another replica. Which attempt they name says
 	// little, since replicas may hold the key for different ones, so that no
 	// attempt's "not run" frees them.
@@ -78,18 +78,18 @@
 // at most capacity keys for the retention time.
 func NewStore(now time.Time, retention time.Duration, capacity int) *Store {
 	return &Store{
-		retention: retention, capacity: capacity, started: now, floor: now.Add(MaxSkew),
+		retention: retention, capacity: capacity, started: now, floor: now.Add(MaxClockSkew),
 		records: map[string]record{}, expiry: map[int64][]string{}, swept: now.Add(-retention).Unix() / 60,
 	}
 }
 
 // InRange reports whether a key is neither too old nor from the future.
 func (st *Store) InRange(now time.Time, key Key) bool {
-	return key.Stamp.After(now.Add(-st.retention)) && key.Stamp.Before(now.Add(MaxSkew))
+	return key.Timestamp.After(now.Add(-st.retention)) && key.Timestamp.Before(now.Add(MaxClockSkew))
 }
 
 // Reserve grants the key to an attempt, or tells who has it.
-func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveAnswer {
+func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveResponse {
 	key, err := ParseKey(res.Key)
 	if err != nil {
 		return refused("bad key")
@@ -101,34 +101,34 @@
 		return rec.reply(res.Attempt)
 	}
 	switch {
-	case !st.InRange(now, key) || key.Stamp.Unix()/60 < st.swept:
+	case !st.InRange(now, key) || key.Timestamp.Unix()/60 < st.swept:
 		return refused("key out of range")
-	case !key.Stamp.After(st.floor):
+	case !key.Timestamp.After(st.floor):
 		return refused("replica recovers")
 	case len(st.records) >= st.capacity:
 		return refused("ledger full")
 	}
 	st.put(key, record{attempt: res.Attempt})
-	return peerapi.ReserveAnswer{State: peerapi.ReserveGranted}
+	return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
 }
 
-func (rc record) reply(attempt string) peerapi.ReserveAnswer {
+func (rc record) reply(attempt string) peerapi.ReserveResponse {
 	if rc.answer != nil {
-		return peerapi.ReserveAnswer{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
+		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
 	}
 	if rc.attempt == attempt {
-		return peerapi.ReserveAnswer{State: peerapi.ReserveGranted}
+		return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
 	}
-	return peerapi.ReserveAnswer{State: peerapi.ReserveHeld, Attempt: rc.attempt}
+	return peerapi.ReserveResponse{State: peerapi.ReserveHeld, Attempt: rc.attempt}
 }
 
-func refused(reason string) peerapi.ReserveAnswer {
-	return peerapi.ReserveAnswer{State: peerapi.ReserveRefused, Reason: reason}
+func refused(reason string) peerapi.ReserveResponse {
+	return peerapi.ReserveResponse{State: peerapi.ReserveRefused, Reason: reason}
 }
 
 func (st *Store) put(key Key, rec record) {
 	if _, ok := st.records[key.Text]; !ok {
-		minute := key.Stamp.Unix() / 60
+		minute := key.Timestamp.Unix() / 60
 		st.expiry[minute] = append(st.expiry[minute], key.Text)
 	}
 	st.records[key.Text] = rec
@@ -172,7 +172,7 @@
 }
 
 // Dump returns a page of records behind a key.
-func (st *Store) Dump(after string) peerapi.DumpAnswer {
+func (st *Store) Dump(after string) peerapi.DumpResponse {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	keys := make([]string, 0, len(st.records))
@@ -182,7 +182,7 @@
 		}
 	}
 	sort.Strings(keys)
-	page := peerapi.DumpAnswer{Floor: st.floor, More: len(keys) > dumpPage}
+	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPage}
 	for _, key := range keys[:min(len(keys), dumpPage)] {
 		rec := st.records[key]
 		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Answer: rec.answer})
@@ -207,9 +207,9 @@
 	}
 }
 
-// Lower sets the floor after the records of all other replicas were loaded;
+// LowerFloor sets the floor after the records of all other replicas were loaded;
 // it never rises.
-func (st *Store) Lower(floor time.Time) {
+func (st *Store) LowerFloor(floor time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if floor.Before(st.floor) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// Settled reports whether every key that is made now is above the floor.
-func (st *Store) Settled(now time.Time) bool {
+// AcceptsNewKeys reports whether every key that is made now is above the floor.
+func (st *Store) AcceptsNewKeys(now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return now.After(st.floor)
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -85,7 +85,7 @@
 
 // Run keeps the links up and sends adverts.
 func (ms *Mesh) Run(ctx context.Context) error {
-	steps := make([]weir.Step, 0, len(ms.clients)+1)
+	steps := make([]weir.Component, 0, len(ms.clients)+1)
 	for _, cl := range ms.clients {
 		steps = append(steps, cl)
 	}
@@ -98,7 +98,7 @@
 // Ready reports whether the link to an entry instance is up.
 func (ms *Mesh) Ready(id string) bool {
 	cl, ok := ms.clients[id]
-	return ok && cl.Ready()
+	return ok && cl.Connected()
 }
 
 // Call implements ledger.Caller.
@@ -110,16 +110,16 @@
 	return cl.Call(ctx, method, params, result)
 }
 
-// Advertised takes an advert of a peer.
-func (ms *Mesh) Advertised(ad peerapi.Advert) {
+// HandleAdvert takes an advert of a peer.
+func (ms *Mesh) HandleAdvert(ad peerapi.Advert) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.adverts[ad.Entry] = &advert{free: ad.Free, at: ms.Clock.Now()}
 }
 
-// Pick returns the reachable peer with the most free slots for a service,
+// PickPeer returns the reachable peer with the most free slots for a service,
 // first in this zone, and counts one of them as used.
-func (ms *Mesh) Pick(service weir.ServiceName) (string, bool) {
+func (ms *Mesh) PickPeer(service weir.ServiceName) (string, bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	best, bestFree, bestNear := "", 0, false
--- a/internal/entry/place/announce.go
+++ b/internal/entry/placement/announce.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"time"
@@ -14,10 +14,10 @@
 )
 
 const (
-	// LeaseTime is how long an endpoint is leased from its announcement on.
-	LeaseTime = 3 * time.Second
-	// AnnounceEvery is when an endpoint announces itself again.
-	AnnounceEvery = time.Second
+	// LeaseDuration is how long an endpoint is leased from its announcement on.
+	LeaseDuration = 3 * time.Second
+	// AnnounceInterval is when an endpoint announces itself again.
+	AnnounceInterval = time.Second
 
 	// usageReportsPerSecond bounds the usage reports of the whole fleet, which
 	// all pass through the replicated log.
@@ -25,16 +25,16 @@
 )
 
 // Announce takes an endpoint's announcement and grants or refuses a lease.
-func (tb *Table) Announce(ann endpoint.Announcement) endpoint.Answer {
+func (tb *Table) Announce(ann endpoint.Announcement) endpoint.AnnounceResponse {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	if reason := tb.refusal(ann); reason != "" {
-		return endpoint.Answer{Reason: reason, View: tb.view.Index, EveryMillis: AnnounceEvery.Milliseconds()}
+		return endpoint.AnnounceResponse{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
-	wk.expires = now.Add(LeaseTime)
+	wk.expires = now.Add(LeaseDuration)
 	wk.leaving = ann.State == endpoint.Leaving
 	wk.seen = max(wk.seen, ann.SeenView)
 	wk.reported = ann.InFlight
@@ -46,16 +46,16 @@
 	if wk.serving {
 		tb.pumpFor(now, wk)
 	}
-	return endpoint.Answer{
-		Granted: true, LeaseMillis: LeaseTime.Milliseconds(), EveryMillis: AnnounceEvery.Milliseconds(),
+	return endpoint.AnnounceResponse{
+		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), AnnounceMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
-		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), Settled: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
+		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
 	}
 }
 
 // usageEvery returns the time between two usage reports of one endpoint.
 func usageEvery(fleet int) time.Duration {
-	return max(AnnounceEvery, time.Duration(fleet)*time.Second/usageReportsPerSecond)
+	return max(AnnounceInterval, time.Duration(fleet)*time.Second/usageReportsPerSecond)
 }
 
 // refusal tells why a lease is not granted, or "". An endpoint that has seen a
@@ -130,8 +130,8 @@
 	return list
 }
 
-// Resend marks instances whose status did not reach the leader.
-func (tb *Table) Resend(list []command.Status) {
+// RequeueStatuses marks instances whose status did not reach the leader.
+func (tb *Table) RequeueStatuses(list []command.Status) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, sta := range list {
@@ -143,33 +143,33 @@
 
 // Consents returns a consent for each draining instance that is leased here,
 // has seen the drain itself and holds no work.
-func (tb *Table) Consents(entry string) []command.Consent {
+func (tb *Table) Consents(entry string) []command.DrainConfirmation {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	var list []command.Consent
+	var list []command.DrainConfirmation
 	for id, wk := range tb.workers {
 		mem := tb.view.Members[id]
 		idle := wk.busy == 0 && wk.foreign == 0 && wk.reported == 0
-		if mem.Phase != view.Draining || !idle || wk.seen < mem.Since {
+		if mem.Phase != view.Draining || !idle || wk.seen < mem.SinceIndex {
 			continue
 		}
 		invariant.Check(!wk.serving, "drainedGetsNoWork", "instance", id)
-		list = append(list, command.Consent{
+		list = append(list, command.DrainConfirmation{
 			Instance: id, Entry: entry, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, View: wk.seen,
 		})
 	}
 	return list
 }
 
-// Usage returns the reports that are not settled yet.
-func (tb *Table) Usage() []command.UsageReport {
+// PendingUsage returns the reports that are not settled yet.
+func (tb *Table) PendingUsage() []command.UsageReport {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	return tb.usage.pending()
 }
 
-// Settle takes the leader's word on which reports are counted.
-func (tb *Table) Settle(marks []command.UsageMark) {
+// AcknowledgeUsage takes the leader's word on which reports are counted.
+func (tb *Table) AcknowledgeUsage(marks []command.UsageAck) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, mk := range marks {
@@ -177,8 +177,8 @@
 	}
 }
 
-// Free returns the free slots of each service that others may use.
-func (tb *Table) Free() map[weir.ServiceName]int {
+// FreeSlots returns the free slots of each service that others may use.
+func (tb *Table) FreeSlots() map[weir.ServiceName]int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
--- a/internal/entry/place/place_test.go
+++ b/internal/entry/placement/place_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/view"
 )
 
 func testView(index uint64, count int) view.View {
-	vw := view.View{Index: index, Number: 1, Members: map[weir.InstanceID]view.Member{}}
+	vw := view.View{Index: index, ConfigNumber: 1, Members: map[weir.InstanceID]view.Member{}}
 	vw.Config.Limits = model.Limits{SlotsPerInstance: 2, ConnectionsPerInstance: 4}
 	vw.Config.Services = map[weir.ServiceName]model.Service{"desk": {Name: "desk", QueueLength: 3, DeferrableShare: 25}}
 	vw.Config.Pools = map[weir.PoolName]model.Pool{"desk": {Name: "desk", Service: "desk"}}
@@ -58,13 +58,13 @@
 		slots = append(slots, slot)
 	}
 	_, err := tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	slots[0].Release(Succeeded)
 	slots[0].Release(Succeeded) // a second release does nothing
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 }
 
 func TestLeaseTable(t *testing.T) {
@@ -97,13 +97,13 @@
 	leaving.State = endpoint.Leaving
 	tb.Announce(leaving)
 	_, err := tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	require.False(t, tb.Sweep("e", true)[0].Up)
 
 	tb, clk = testTable(t, 1)
-	clk.Advance(LeaseTime)
+	clk.Advance(LeaseDuration)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot))
+	require.True(t, errkind.Is(err, KindNoSlot))
 	require.False(t, tb.Sweep("e", false)[0].Up)
 	require.Empty(t, tb.Sweep("e", true))
 }
@@ -119,7 +119,7 @@
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, fault.Is(err, KindNoSlot), "one slot is still used")
+	require.True(t, errkind.Is(err, KindNoSlot), "one slot is still used")
 	tb.Announce(ann) // ours is the one in flight now
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
@@ -175,7 +175,7 @@
 	}
 	lab := request(clk)
 	lab.Service = "lab"
-	require.Equal(t, 18, tb.Free()["lab"])
+	require.Equal(t, 18, tb.FreeSlots()["lab"])
 	var lent []*Slot
 	for {
 		slot, err := tb.TryAcquire(lab)
@@ -236,7 +236,7 @@
 		done = append(done, wait(tb, req))
 	}
 	_, err = tb.Acquire(context.Background(), request(clk), nil)
-	require.True(t, fault.Is(err, KindFull))
+	require.True(t, errkind.Is(err, KindQueueFull))
 	one.Release(Succeeded)
 	for _, ch := range done {
 		require.NoError(t, <-ch)
@@ -264,7 +264,7 @@
 	hasty := request(clk)
 	hasty.Deadline = clk.Now().Add(time.Second)
 	_, err := tb.Acquire(context.Background(), hasty, nil)
-	require.True(t, fault.Is(err, KindLate))
+	require.True(t, errkind.Is(err, KindWouldMissDeadline))
 	slots[0].Release(Succeeded)
 	require.NoError(t, <-first)
 	require.NoError(t, <-second)
@@ -292,7 +292,7 @@
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	vw := testView(5, 1)
-	vw.Members["n0"] = view.Member{Instance: "n0", Pool: "desk", Phase: view.Draining, Since: 5}
+	vw.Members["n0"] = view.Member{Instance: "n0", Pool: "desk", Phase: view.Draining, SinceIndex: 5}
 	tb.SetView(vw)
 	_, err = tb.TryAcquire(request(clk))
 	require.Error(t, err, "a draining instance gets no work")
@@ -380,7 +380,7 @@
 	second := wait(tb, request(clk))
 	clk.Advance(1500 * time.Millisecond)
 	slots[0].Release(Succeeded)
-	require.True(t, fault.Is(<-first, KindDeadline), "refused while the caller still waits")
+	require.True(t, errkind.Is(<-first, KindDeadlineExceeded), "refused while the caller still waits")
 	require.NoError(t, <-second)
 }
 
--- a/internal/entry/place/table.go
+++ b/internal/entry/placement/table.go
@@ -10,7 +10,7 @@
 //	answer := tb.Announce(now, announcement)
 //	slot, err := tb.Acquire(ctx, &req)
 //	slot.Release(place.Succeeded)
-package place
+package placement
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
@@ -33,16 +33,16 @@
 
 // The kinds of errors; none of them lets the request run.
 const (
-	KindNoService Kind = "no such service"
-	KindFull      Kind = "queue is full"
-	KindLate      Kind = "would end past its deadline"
-	KindDeadline  Kind = "waited until its deadline"
-	KindNoSlot    Kind = "no free slot"
-	KindStopping  Kind = "entry is stopping"
+	KindNoService         Kind = "no such service"
+	KindQueueFull         Kind = "queue is full"
+	KindWouldMissDeadline Kind = "would end past its deadline"
+	KindDeadlineExceeded  Kind = "waited until its deadline"
+	KindNoSlot            Kind = "no free slot"
+	KindStopping          Kind = "entry is stopping"
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Table holds the endpoints leased to this entry instance. It is safe for
 // concurrent use.
@@ -194,13 +194,13 @@
 		select {
 		case slot, ok := <-wt.granted:
 			if !ok {
-				return nil, &Error{Op: "place", Kind: KindDeadline}
+				return nil, &Error{Op: "place", Kind: KindDeadlineExceeded}
 			}
 			return slot, nil
 		case <-deadline.C:
-			return tb.leave(wt, KindDeadline)
+			return tb.leave(wt, KindDeadlineExceeded)
 		case <-ctx.Done():
-			return tb.leave(wt, KindDeadline)
+			return tb.leave(wt, KindDeadlineExceeded)
 		case <-poll.C:
 			if wake != nil && wake() {
 				return tb.leave(wt, KindNoSlot)
@@ -217,17 +217,17 @@
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	slot, err := tb.tryAcquire(now, req)
-	if err == nil || !fault.Is(err, KindNoSlot) {
+	if err == nil || !errkind.Is(err, KindNoSlot) {
 		return nil, slot, err
 	}
 	svc, _ := tb.view.Config.ServiceAt(tb.zone, req.Service)
 	sq := tb.queue(req.Service)
 	la := sq.lane(req.Class)
 	if la.count >= svc.QueueLength {
-		return nil, nil, &Error{Op: "place", Kind: KindFull}
+		return nil, nil, &Error{Op: "place", Kind: KindQueueFull}
 	}
 	if now.Add(sq.expectedEnd(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
-		return nil, nil, &Error{Op: "place", Kind: KindLate}
+		return nil, nil, &Error{Op: "place", Kind: KindWouldMissDeadline}
 	}
 	wt := &waiter{req: req, granted: make(chan *Slot, 1)}
 	la.push(wt)
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/member/roster"
@@ -64,7 +64,7 @@
 			case err == nil:
 				rl.Roster.SetLeader(rep.Leader)
 				return rep
-			case !fault.Is(err, peer.KindNotSent):
+			case !errkind.Is(err, peer.KindNotSent):
 				open, reason = true, err.Error()
 				rl.Roster.SetLeader("")
 			}
@@ -114,7 +114,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	var rep jobapi.Reply
-	err := rl.Links.Call(callCtx, id, jobapi.Method, call, &rep)
+	err := rl.Links.Call(callCtx, id, jobapi.CallMethod, call, &rep)
 	return rep, err
 }
 
--- a/internal/entry/relay/relay_test.go
+++ b/internal/entry/relay/relay_test.go
@@ -27,8 +27,8 @@
 func newHolder(t *testing.T, answer func(ctx context.Context) (jobapi.Reply, error)) *holder {
 	ho := &holder{}
 	sv := &peer.Server{Addr: "127.0.0.1:0", Token: testToken, Handle: func(ctx context.Context, call peer.Call) (any, error) {
-		if call.Method != jobapi.Method {
-			return nil, peer.Unknown(call.Method)
+		if call.Method != jobapi.CallMethod {
+			return nil, peer.MethodNotFound(call.Method)
 		}
 		ho.calls.Add(1)
 		return answer(ctx)
@@ -61,7 +61,7 @@
 	require.NoError(t, lks.Default())
 	require.NoError(t, ros.Default())
 	run(t, lks.Run)
-	rly := &Relay{Links: lks, Roster: ros, Clock: clock.Steady{}, Logger: log.NewNopLogger()}
+	rly := &Relay{Links: lks, Roster: ros, Clock: clock.BootTime{}, Logger: log.NewNopLogger()}
 	for _, ho := range holders {
 		require.Eventually(t, func() bool { return lks.Ready(ho.addr) }, 5*time.Second, time.Millisecond)
 	}
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -13,7 +13,7 @@
 
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 
 	"github.com/go-kit/log"
@@ -28,21 +28,21 @@
 	callTimeout = 2 * time.Second
 )
 
-// Caller reaches the leader and knows the view.
-type Caller interface {
+// ControlClient reaches the leader and knows the view.
+type ControlClient interface {
 	Call(ctx context.Context, method string, params, result any) error
 	View() view.View
 }
 
 // Reporter reports. Set the exported fields before Run.
 type Reporter struct {
-	Self     string
-	Zone     weir.Zone
-	Started  time.Time
-	Table    *place.Table
-	Follower Caller
-	Clock    weir.Clock
-	Logger   log.Logger
+	Self    string
+	Zone    weir.Zone
+	Started time.Time
+	Table   *placement.Table
+	Control ControlClient
+	Clock   weir.Clock
+	Logger  log.Logger
 
 	lastAt   time.Time
 	lastView uint64
@@ -65,11 +65,11 @@
 
 func (rp *Reporter) tick(ctx context.Context) {
 	now := rp.Clock.Now()
-	vw := rp.Follower.View()
+	vw := rp.Control.View()
 	full := rp.full
 	rep := peerapi.Report{
-		Entry: rp.Self, Zone: rp.Zone, Started: rp.Started, View: vw.Index, Number: vw.Number, Full: full,
-		Statuses: rp.Table.Sweep(rp.Self, full), Consents: rp.Table.Consents(rp.Self), Usage: rp.Table.Usage(),
+		Entry: rp.Self, Zone: rp.Zone, Started: rp.Started, View: vw.Index, ConfigNumber: vw.ConfigNumber, Full: full,
+		Statuses: rp.Table.Sweep(rp.Self, full), Consents: rp.Table.Consents(rp.Self), Usage: rp.Table.PendingUsage(),
 	}
 	urgent := len(rep.Statuses) > 0 || len(rep.Consents) > 0 || vw.Index != rp.lastView
 	if !urgent && now.Sub(rp.lastAt) < reportEvery {
@@ -82,9 +82,9 @@
 func (rp *Reporter) send(ctx context.Context, rep peerapi.Report, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var ans peerapi.ReportAnswer
-	if err := rp.Follower.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
-		rp.Table.Resend(rep.Statuses)
+	var ans peerapi.ReportResponse
+	if err := rp.Control.Call(ctx, peerapi.EntryReport, rep, &ans); err != nil {
+		rp.Table.RequeueStatuses(rep.Statuses)
 		rp.full = true
 		_ = rp.Logger.Log("level", "debug", "msg", "report not delivered", "err", err.Error())
 		return
@@ -92,5 +92,5 @@
 	rp.lastAt = now
 	rp.lastView = rep.View
 	rp.full = ans.WantFull
-	rp.Table.Settle(ans.Acked)
+	rp.Table.AcknowledgeUsage(ans.Acked)
 }
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -15,12 +15,12 @@
 
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/peer"
 
 	"github.com/labstack/echo/v4"
@@ -36,44 +36,44 @@
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
-// Service answers the other entry instances. Set the exported fields first.
-type Service struct {
+// PeerHandler answers the other entry instances. Set the exported fields first.
+type PeerHandler struct {
 	Dispatcher *dispatch.Dispatcher
-	Table      *place.Table
+	Table      *placement.Table
 	Store      *ledger.Store
 	Mesh       *mesh.Mesh
 	Clock      weir.Clock
 }
 
 // Handle implements peer.Handler.
-func (sv *Service) Handle(ctx context.Context, call peer.Call) (any, error) {
+func (sv *PeerHandler) Handle(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.EntryCall:
 		var params dispatch.CallParams
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Lead(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunKeyed(ctx, params.LocalRequest(sv.Clock.Now())), nil
 	case peerapi.EntryRun:
 		var params dispatch.CallParams
 		if err := call.Decode(&params); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Run(ctx, params.Here(sv.Clock.Now())), nil
+		return sv.Dispatcher.RunOnFreeSlot(ctx, params.LocalRequest(sv.Clock.Now())), nil
 	case peerapi.EntryAdvert:
 		var ad peerapi.Advert
 		if err := call.Decode(&ad); err != nil {
 			return nil, err
 		}
-		sv.Mesh.Advertised(ad)
+		sv.Mesh.HandleAdvert(ad)
 		return nil, nil
 	}
 	return sv.handleLedger(ctx, call)
 }
 
-func (sv *Service) handleLedger(ctx context.Context, call peer.Call) (any, error) {
+func (sv *PeerHandler) handleLedger(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.LedgerReserve:
 		var res peerapi.Reserve
@@ -93,7 +93,7 @@
 		if err := call.Decode(&jo); err != nil {
 			return nil, err
 		}
-		return sv.Dispatcher.Join(ctx, jo), nil
+		return sv.Dispatcher.AwaitAttempt(ctx, jo), nil
 	case peerapi.LedgerDump:
 		var du peerapi.Dump
 		if err := call.Decode(&du); err != nil {
@@ -101,7 +101,7 @@
 		}
 		return sv.Store.Dump(du.After), nil
 	}
-	return nil, peer.Unknown(call.Method)
+	return nil, peer.MethodNotFound(call.Method)
 }
 
 const (
@@ -109,21 +109,21 @@
 	stopPatience    = time.Second
 )
 
-// Announcements is the endpoints' listener. Set the exported fields before
+// AnnouncementServer is the endpoints' listener. Set the exported fields before
 // Run.
-type Announcements struct {
+type AnnouncementServer struct {
 	Addr  string
-	Table *place.Table
+	Table *placement.Table
 
 	listener net.Listener
 	server   *http.Server
 }
 
 // String is the step's name in logs.
-func (an *Announcements) String() string { return "endpoints' server" }
+func (an *AnnouncementServer) String() string { return "endpoints' server" }
 
 // Default opens the listener.
-func (an *Announcements) Default() error {
+func (an *AnnouncementServer) Default() error {
 	lis, err := net.Listen("tcp", an.Addr)
 	if err != nil {
 		return &Error{Op: "endpoints' server", Kind: KindListen, Err: err}
@@ -137,14 +137,14 @@
 }
 
 // Address returns the address that is listened on.
-func (an *Announcements) Address() string { return an.listener.Addr().String() }
+func (an *AnnouncementServer) Address() string { return an.listener.Addr().String() }
 
 // Run serves until the context ends.
-func (an *Announcements) Run(ctx context.Context) error {
+func (an *AnnouncementServer) Run(ctx context.Context) error {
 	return ops.Serve(ctx, an.server, an.listener, stopPatience)
 }
 
-func (an *Announcements) announce(ctx echo.Context) error {
+func (an *AnnouncementServer) announce(ctx echo.Context) error {
 	var ann endpoint.Announcement
 	if err := ctx.Bind(&ann); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -24,21 +24,21 @@
 	Operator  string    `json:"operator,omitempty"`
 	At        time.Time `json:"at"`
 
-	Config  *ConfigApply   `json:"config,omitempty"`
-	Move    *Move          `json:"move,omitempty"`
-	Abandon *Abandon       `json:"abandon,omitempty"`
-	Consent *Consent       `json:"consent,omitempty"`
-	Wave    *WaveCreate    `json:"wave,omitempty"`
-	WaveSet *WaveSet       `json:"waveSet,omitempty"`
-	Permit  *PermitGrant   `json:"permit,omitempty"`
-	Reboot  *RebootDone    `json:"reboot,omitempty"`
-	Release *PermitRelease `json:"release,omitempty"`
-	Stuck   *Stuck         `json:"stuck,omitempty"`
-	Retire  *Retire        `json:"retire,omitempty"`
-	Status  *StatusBatch   `json:"status,omitempty"`
-	Usage   *UsageBatch    `json:"usage,omitempty"`
-	Process *Process       `json:"process,omitempty"`
-	Barrier *Barrier       `json:"barrier,omitempty"`
+	Config            *ConfigApply       `json:"config,omitempty"`
+	Move              *Move              `json:"move,omitempty"`
+	Abandon           *Abandon           `json:"abandon,omitempty"`
+	DrainConfirmation *DrainConfirmation `json:"consent,omitempty"`
+	Wave              *WaveCreate        `json:"wave,omitempty"`
+	WaveSet           *WaveSet           `json:"waveSet,omitempty"`
+	Permit            *PermitGrant       `json:"permit,omitempty"`
+	Reboot            *RebootDone        `json:"reboot,omitempty"`
+	Release           *PermitRelease     `json:"release,omitempty"`
+	Stuck             *Stuck             `json:"stuck,omitempty"`
+	Retire            *Retire            `json:"retire,omitempty"`
+	Status            *StatusBatch       `json:"status,omitempty"`
+	Usage             *UsageBatch        `json:"usage,omitempty"`
+	Process           *Process           `json:"process,omitempty"`
+	Barrier           *Barrier           `json:"barrier,omitempty"`
 }
 
 // Encode returns the command as it is stored in the log.
@@ -74,9 +74,9 @@
 	Reason   string          `json:"reason"`
 }
 
-// Consent says that the owner of an instance placed its last request on it
+// DrainConfirmation says that the owner of an instance placed its last request on it
 // and that nothing is in flight there.
-type Consent struct {
+type DrainConfirmation struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Entry       string          `json:"entry"`
 	Incarnation uint64          `json:"incarnation"`
@@ -192,12 +192,12 @@
 
 // The kinds of refusals.
 const (
-	RefusedConflict RefusalKind = "conflict"
-	RefusedInvalid  RefusalKind = "invalid"
-	RefusedUnknown  RefusalKind = "notFound"
-	RefusedState    RefusalKind = "wrongState"
-	RefusedBudget   RefusalKind = "budget"
-	RefusedStale    RefusalKind = "stale"
+	RefusedConflict   RefusalKind = "conflict"
+	RefusedInvalid    RefusalKind = "invalid"
+	RefusedNotFound   RefusalKind = "notFound"
+	RefusedWrongState RefusalKind = "wrongState"
+	RefusedBudget     RefusalKind = "budget"
+	RefusedStale      RefusalKind = "stale"
 )
 
 // Refusal says why a command changed nothing.
@@ -207,20 +207,20 @@
 	Problems []model.Problem `json:"problems,omitempty"`
 }
 
-// Answer is the state machine's answer to a command. A request id that is
+// Result is the state machine's answer to a command. A request id that is
 // used again gets the first answer.
-type Answer struct {
-	Index   uint64   `json:"index"`
-	Number  uint64   `json:"number,omitempty"`
-	Refusal *Refusal `json:"refusal,omitempty"`
+type Result struct {
+	Index        uint64   `json:"index"`
+	ConfigNumber uint64   `json:"number,omitempty"`
+	Refusal      *Refusal `json:"refusal,omitempty"`
 	// Repeated is set where the answer is that of an earlier equal request.
 	Repeated bool `json:"repeated,omitempty"`
 	// Acked counts the usage reports that are settled now.
-	Acked []UsageMark `json:"acked,omitempty"`
+	Acked []UsageAck `json:"acked,omitempty"`
 }
 
-// UsageMark is the last settled report of one incarnation.
-type UsageMark struct {
+// UsageAck is the last settled report of one incarnation.
+type UsageAck struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Incarnation uint64          `json:"incarnation"`
 	Sequence    uint64          `json:"sequence"`
--- a/internal/fleet/machine/config.go
+++ b/internal/fleet/fsm/config.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"greengageweir/internal/fleet/command"
@@ -6,7 +6,7 @@
 )
 
 // applyConfig accepts a configuration if it follows the present one.
-func (st *state) applyConfig(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyConfig(cmd command.Command, ch *change) command.Result {
 	ca := cmd.Config
 	if ca.Expected != st.Number {
 		return refuse(command.RefusedConflict, "expected configuration %d, but %d is in force", ca.Expected, st.Number)
@@ -19,12 +19,12 @@
 	}
 	for _, pool := range ca.Delta.DropPools {
 		if st.sizes[pool] > 0 {
-			return refuse(command.RefusedState, "pool %s still holds %d instances; move them first", pool, st.sizes[pool])
+			return refuse(command.RefusedWrongState, "pool %s still holds %d instances; move them first", pool, st.sizes[pool])
 		}
 	}
 	st.Config = cfg
 	st.Number++
-	st.History = append(st.History, Change{
+	st.History = append(st.History, ConfigChange{
 		Number: st.Number, Index: ch.index, Checksum: ca.Checksum, Operator: cmd.Operator,
 		RequestID: cmd.RequestID, At: cmd.At, Note: ca.Note,
 	})
@@ -33,7 +33,7 @@
 	}
 	ch.config = &ca.Delta
 	st.placeInstances(cmd, ch)
-	return command.Answer{Number: st.Number}
+	return command.Result{ConfigNumber: st.Number}
 }
 
 // placeInstances brings members in line with the instances of a new
@@ -43,10 +43,10 @@
 	for id, inst := range cmd.Config.Delta.Instances {
 		mem, ok := st.Members[id]
 		if !ok {
-			mem = view.Member{Instance: id, Pool: inst.Pool, Phase: view.Serving, Since: ch.index, SinceAt: cmd.At}
+			mem = view.Member{Instance: id, Pool: inst.Pool, Phase: view.Serving, SinceIndex: ch.index, SinceAt: cmd.At}
 		}
 		mem.Zone = inst.Zone
-		mem.Home = inst.Pool
+		mem.ConfiguredPool = inst.Pool
 		st.putMember(mem, ch)
 	}
 	for _, id := range cmd.Config.Delta.DropInstances {
@@ -54,7 +54,7 @@
 		if !ok {
 			continue
 		}
-		mem.Home = ""
+		mem.ConfiguredPool = ""
 		st.putMember(mem, ch)
 	}
 }
@@ -67,10 +67,10 @@
 // enter puts a member into a phase.
 func (st *state) enter(mem view.Member, phase view.Phase, cmd command.Command, ch *change) {
 	mem.Phase = phase
-	mem.Since = ch.index
+	mem.SinceIndex = ch.index
 	mem.SinceAt = cmd.At
 	if phase == view.Serving {
-		mem.Purpose, mem.To, mem.Wave, mem.Operation = "", "", "", ""
+		mem.Purpose, mem.TargetPool, mem.Wave, mem.Operation = "", "", "", ""
 		mem.OldIncarnation, mem.Stuck = 0, false
 	}
 	st.putMember(mem, ch)
--- a/internal/fleet/machine/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"fmt"
@@ -12,16 +12,16 @@
 
 // serving returns a member that serves and is up, or the refusal that says
 // why it is not so.
-func (st *state) serving(id weir.InstanceID) (view.Member, *command.Answer) {
+func (st *state) serving(id weir.InstanceID) (view.Member, *command.Result) {
 	mem, ok := st.Members[id]
-	var ans command.Answer
+	var ans command.Result
 	switch {
 	case !ok:
-		ans = refuse(command.RefusedUnknown, "no instance is named %s", id)
+		ans = refuse(command.RefusedNotFound, "no instance is named %s", id)
 	case mem.Phase != view.Serving:
-		ans = refuse(command.RefusedState, "instance %s is %s", id, mem.Phase)
+		ans = refuse(command.RefusedWrongState, "instance %s is %s", id, mem.Phase)
 	case !st.Statuses[id].Up:
-		ans = refuse(command.RefusedState, "instance %s is not up", id)
+		ans = refuse(command.RefusedWrongState, "instance %s is not up", id)
 	default:
 		return mem, nil
 	}
@@ -30,7 +30,7 @@
 
 // startDrain begins a planned disruption of a serving member, if the budget
 // of its pool allows it.
-func (st *state) startDrain(mem view.Member, cmd command.Command, ch *change) command.Answer {
+func (st *state) startDrain(mem view.Member, cmd command.Command, ch *change) command.Result {
 	left := st.available[mem.Pool] - 1
 	want := st.Config.Pools[mem.Pool].MinAvailable
 	if left < want {
@@ -39,37 +39,37 @@
 	st.enter(mem, view.Draining, cmd, ch)
 	invariant.Check(st.available[mem.Pool] >= want, "budgetHolds",
 		"pool", mem.Pool, "available", st.available[mem.Pool], "budget", want)
-	return command.Answer{}
+	return command.Result{}
 }
 
-func (st *state) applyMove(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyMove(cmd command.Command, ch *change) command.Result {
 	mv := cmd.Move
 	mem, bad := st.serving(mv.Instance)
 	if bad != nil {
 		return *bad
 	}
 	if _, ok := st.Config.Pools[mv.To]; !ok {
-		return refuse(command.RefusedUnknown, "no pool is named %s", mv.To)
+		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
 	}
 	if mem.Pool == mv.To {
-		return refuse(command.RefusedState, "instance %s is in pool %s already", mv.Instance, mv.To)
+		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.To)
 	}
 	mem.Purpose = view.ForMove
-	mem.To = mv.To
+	mem.TargetPool = mv.To
 	mem.Lent = mv.Lent
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyRetire(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyRetire(cmd command.Command, ch *change) command.Result {
 	id := cmd.Retire.Instance
 	mem, ok := st.Members[id]
-	if ok && mem.Home != "" {
-		return refuse(command.RefusedState, "instance %s is in the configuration", id)
+	if ok && mem.ConfiguredPool != "" {
+		return refuse(command.RefusedWrongState, "instance %s is in the configuration", id)
 	}
 	if ok && mem.Phase == view.Serving && !st.Statuses[id].Up {
 		st.dropMember(id)
 		ch.gone = append(ch.gone, id)
-		return command.Answer{}
+		return command.Result{}
 	}
 	mem, bad := st.serving(id)
 	if bad != nil {
@@ -79,17 +79,17 @@
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyPermit(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyPermit(cmd command.Command, ch *change) command.Result {
 	pg := cmd.Permit
 	wave, ok := st.Waves[pg.Wave]
 	if !ok {
-		return refuse(command.RefusedUnknown, "no wave is named %s", pg.Wave)
+		return refuse(command.RefusedNotFound, "no wave is named %s", pg.Wave)
 	}
 	if wave.State != WaveRunning || !wave.Todo[pg.Instance] {
-		return refuse(command.RefusedState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
+		return refuse(command.RefusedWrongState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
 	}
 	if len(wave.Active) >= wave.MaxParallel {
-		return refuse(command.RefusedState, "wave %s has %d instances in work", pg.Wave, len(wave.Active))
+		return refuse(command.RefusedWrongState, "wave %s has %d instances in work", pg.Wave, len(wave.Active))
 	}
 	mem, bad := st.serving(pg.Instance)
 	if bad != nil {
@@ -108,20 +108,20 @@
 
 // applyConsent completes a drain. Only the instance's present owner can give
 // it, and only for a view that includes the drain.
-func (st *state) applyConsent(cmd command.Command, ch *change) command.Answer {
-	co := cmd.Consent
+func (st *state) applyConsent(cmd command.Command, ch *change) command.Result {
+	co := cmd.DrainConfirmation
 	mem, ok := st.Members[co.Instance]
 	if !ok || mem.Phase != view.Draining {
-		return refuse(command.RefusedState, "instance %s is not draining", co.Instance)
+		return refuse(command.RefusedWrongState, "instance %s is not draining", co.Instance)
 	}
 	sta := st.Statuses[co.Instance]
-	if co.View < mem.Since || co.Incarnation != sta.Incarnation || co.Epoch != sta.Epoch || co.Entry != sta.Entry {
+	if co.View < mem.SinceIndex || co.Incarnation != sta.Incarnation || co.Epoch != sta.Epoch || co.Entry != sta.Entry {
 		return refuse(command.RefusedStale, "consent for %s is of an earlier view or owner", co.Instance)
 	}
 	switch mem.Purpose {
 	case view.ForMove:
-		mem.Pool = mem.To
-		if mem.Pool == mem.Home {
+		mem.Pool = mem.TargetPool
+		if mem.Pool == mem.ConfiguredPool {
 			mem.Lent = false
 		}
 		st.Moves++
@@ -133,15 +133,15 @@
 		mem.OldIncarnation = sta.Incarnation
 		st.enter(mem, view.Drained, cmd, ch)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyAbandon takes back a drain that is not complete.
-func (st *state) applyAbandon(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyAbandon(cmd command.Command, ch *change) command.Result {
 	id := cmd.Abandon.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Draining {
-		return refuse(command.RefusedState, "instance %s is not draining", id)
+		return refuse(command.RefusedWrongState, "instance %s is not draining", id)
 	}
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
@@ -149,30 +149,30 @@
 			wave.Todo[id] = true
 		}
 	}
-	if mem.Purpose == view.ForMove && mem.Pool == mem.Home {
+	if mem.Purpose == view.ForMove && mem.Pool == mem.ConfiguredPool {
 		mem.Lent = false
 	}
 	st.enter(mem, view.Serving, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
-func (st *state) applyReboot(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyReboot(cmd command.Command, ch *change) command.Result {
 	mem, ok := st.Members[cmd.Reboot.Instance]
 	if !ok || mem.Phase != view.Drained || mem.Operation != cmd.Reboot.Operation {
-		return refuse(command.RefusedState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
+		return refuse(command.RefusedWrongState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
 	}
 	st.enter(mem, view.Returning, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyRelease returns a rebooted instance, which must be up as a newer
 // incarnation than the one that was rebooted.
-func (st *state) applyRelease(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyRelease(cmd command.Command, ch *change) command.Result {
 	id := cmd.Release.Instance
 	mem, ok := st.Members[id]
 	sta := st.Statuses[id]
 	if !ok || mem.Phase != view.Returning || !sta.Up || sta.Incarnation <= mem.OldIncarnation {
-		return refuse(command.RefusedState, "instance %s has not come back", id)
+		return refuse(command.RefusedWrongState, "instance %s has not come back", id)
 	}
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
@@ -181,16 +181,16 @@
 		wave.end(cmd.At)
 	}
 	st.enter(mem, view.Serving, cmd, ch)
-	return command.Answer{}
+	return command.Result{}
 }
 
 // applyStuck lets the wave go on without an instance that did not come back;
 // the instance stays out of its pool's availability.
-func (st *state) applyStuck(cmd command.Command, ch *change) command.Answer {
+func (st *state) applyStuck(cmd command.Command, ch *change) command.Result {
 	id := cmd.Stuck.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Returning || mem.Stuck {
-		return refuse(command.RefusedState, "instance %s is not returning", id)
+		return refuse(command.RefusedWrongState, "instance %s is not returning", id)
 	}
 	mem.Stuck = true
 	st.putMember(mem, ch)
@@ -199,5 +199,5 @@
 		wave.Stuck[id] = true
 		wave.end(cmd.At)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
--- a/internal/fleet/machine/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -8,7 +8,7 @@
 //	mc := machine.New(publish)
 //	answer := mc.Apply(index, data).(command.Answer)
 //	vw := mc.View()
-package machine
+package fsm
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 	"sync"
 
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 
@@ -31,7 +31,7 @@
 const KindDecode Kind = "cannot decode"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	keptRequests = 20_000
@@ -94,7 +94,7 @@
 	if ch.config == nil && len(ch.members) == 0 && len(ch.gone) == 0 {
 		return
 	}
-	eff := view.Effect{After: mc.st.EffectIndex, Index: ch.index, Number: mc.st.Number, Config: ch.config, Gone: ch.gone}
+	eff := view.Effect{PrevIndex: mc.st.EffectIndex, Index: ch.index, ConfigNumber: mc.st.Number, Config: ch.config, Removed: ch.gone}
 	for _, mem := range ch.members {
 		eff.Members = append(eff.Members, mem)
 	}
@@ -141,7 +141,7 @@
 	for id, mem := range mc.st.Members {
 		members[id] = mem
 	}
-	return view.View{Index: mc.st.EffectIndex, Number: mc.st.Number, Config: mc.st.Config, Members: members}
+	return view.View{Index: mc.st.EffectIndex, ConfigNumber: mc.st.Number, Config: mc.st.Config, Members: members}
 }
 
 // Read calls fn with a reader of the state while nothing changes.
@@ -151,7 +151,7 @@
 	fn(Reader{st: mc.st})
 }
 
-func (st *state) remember(id string, ans command.Answer) {
+func (st *state) remember(id string, ans command.Result) {
 	if id == "" {
 		return
 	}
@@ -164,11 +164,11 @@
 	st.Requests = st.Requests[1:]
 }
 
-func refuse(kind command.RefusalKind, format string, args ...any) command.Answer {
-	return command.Answer{Refusal: &command.Refusal{Kind: kind, Message: fmt.Sprintf(format, args...)}}
+func refuse(kind command.RefusalKind, format string, args ...any) command.Result {
+	return command.Result{Refusal: &command.Refusal{Kind: kind, Message: fmt.Sprintf(format, args...)}}
 }
 
-func (st *state) apply(cmd command.Command, ch *change) command.Answer {
+func (st *state) apply(cmd command.Command, ch *change) command.Result {
 	switch {
 	case cmd.Config != nil:
 		return st.applyConfig(cmd, ch)
@@ -176,7 +176,7 @@
 		return st.applyMove(cmd, ch)
 	case cmd.Abandon != nil:
 		return st.applyAbandon(cmd, ch)
-	case cmd.Consent != nil:
+	case cmd.DrainConfirmation != nil:
 		return st.applyConsent(cmd, ch)
 	case cmd.Wave != nil:
 		return st.applyWave(cmd)
@@ -199,7 +199,7 @@
 	case cmd.Process != nil:
 		return st.applyProcess(cmd)
 	case cmd.Barrier != nil:
-		return command.Answer{}
+		return command.Result{}
 	}
 	return refuse(command.RefusedInvalid, "command is empty")
 }
--- a/internal/fleet/machine/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"flag"
@@ -46,13 +46,13 @@
 	return be
 }
 
-func (be *bench) do(cmd command.Command) command.Answer {
+func (be *bench) do(cmd command.Command) command.Result {
 	be.index++
 	be.now = be.now.Add(time.Second)
 	cmd.At = be.now
 	data, err := cmd.Encode()
 	require.NoError(be.t, err)
-	ans, ok := be.mc.Apply(be.index, data).(command.Answer)
+	ans, ok := be.mc.Apply(be.index, data).(command.Result)
 	require.True(be.t, ok)
 	return ans
 }
@@ -114,7 +114,7 @@
 }
 
 func (be *bench) consent(id weir.InstanceID, incarnation, epoch, seen uint64, entry string) command.Command {
-	return command.Command{Consent: &command.Consent{Instance: id, Incarnation: incarnation, Epoch: epoch, View: seen, Entry: entry}}
+	return command.Command{DrainConfirmation: &command.DrainConfirmation{Instance: id, Incarnation: incarnation, Epoch: epoch, View: seen, Entry: entry}}
 }
 
 func TestEqualVersionsRace(t *testing.T) {
@@ -124,7 +124,7 @@
 	be.ok(apply(1, fleet(), first))
 	be.refused(command.RefusedConflict, apply(1, fleet(), second))
 	require.Equal(t, "first", be.vw.Config.Name)
-	require.Equal(t, uint64(2), be.vw.Number)
+	require.Equal(t, uint64(2), be.vw.ConfigNumber)
 }
 
 func TestResentRequestGetsItsFirstAnswer(t *testing.T) {
@@ -134,11 +134,11 @@
 	cmd := apply(1, fleet(), changed)
 	cmd.RequestID = "r1"
 	first := be.do(cmd)
-	require.Equal(t, uint64(2), first.Number)
+	require.Equal(t, uint64(2), first.ConfigNumber)
 	again := be.do(cmd)
 	require.True(t, again.Repeated)
-	require.Equal(t, first.Number, again.Number)
-	require.Equal(t, uint64(2), be.vw.Number)
+	require.Equal(t, first.ConfigNumber, again.ConfigNumber)
+	require.Equal(t, uint64(2), be.vw.ConfigNumber)
 
 	snap, err := be.mc.Snapshot()
 	require.NoError(t, err)
@@ -165,8 +165,8 @@
 	be.ok(move("n0", "lab"))
 	_, serves := be.vw.Serves("n0")
 	require.False(t, serves, "no work while it drains")
-	since := be.vw.Members["n0"].Since
-	be.refused(command.RefusedState, move("n0", "lab"))
+	since := be.vw.Members["n0"].SinceIndex
+	be.refused(command.RefusedWrongState, move("n0", "lab"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 1, since-1, "e1"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 0, since, "e1"))
 	be.refused(command.RefusedStale, be.consent("n0", 1, 1, since, "e2"))
@@ -175,8 +175,8 @@
 	service, serves := be.vw.Serves("n0")
 	require.True(t, serves)
 	require.Equal(t, weir.ServiceName("lab"), service)
-	be.refused(command.RefusedState, be.consent("n0", 1, 1, since, "e1"))
-	be.mc.Read(func(rd Reader) { require.Equal(t, uint64(1), rd.Moves()) })
+	be.refused(command.RefusedWrongState, be.consent("n0", 1, 1, since, "e1"))
+	be.mc.Read(func(rd Reader) { require.Equal(t, uint64(1), rd.CompletedMoves()) })
 }
 
 func TestMoveThatLostItsPoint(t *testing.T) {
@@ -212,21 +212,21 @@
 	be.refused(command.RefusedConflict, wave("w1", 2))
 	be.ok(wave("w2", 2))
 	be.ok(permit("w1", "n0"))
-	be.refused(command.RefusedState, permit("w2", "n0"))
+	be.refused(command.RefusedWrongState, permit("w2", "n0"))
 	be.ok(permit("w2", "n1"))
 	be.refused(command.RefusedBudget, permit("w1", "n2"))
 	mem := be.vw.Members["n0"]
-	be.ok(be.consent("n0", 1, 1, mem.Since, "e1"))
+	be.ok(be.consent("n0", 1, 1, mem.SinceIndex, "e1"))
 	op := be.vw.Members["n0"].Operation
 	reboot := command.Command{Reboot: &command.RebootDone{Instance: "n0", Operation: op}}
 	be.ok(reboot)
-	be.refused(command.RefusedState, reboot)
+	be.refused(command.RefusedWrongState, reboot)
 	release := command.Command{Release: &command.PermitRelease{Instance: "n0"}}
-	be.refused(command.RefusedState, release) // still the old incarnation
+	be.refused(command.RefusedWrongState, release) // still the old incarnation
 	be.status("n0", 2, 1, true)
 	be.refused(command.RefusedBudget, permit("w1", "n2")) // not proven back yet
 	be.status("n0", 2, 1, false)                          // a second loss right after the repair
-	be.refused(command.RefusedState, release)
+	be.refused(command.RefusedWrongState, release)
 	be.status("n0", 2, 2, true)
 	be.ok(release)
 	be.ok(permit("w1", "n2"))
@@ -239,7 +239,7 @@
 		if ans := be.do(permit("w", id)); ans.Refusal != nil {
 			break
 		}
-		be.ok(be.consent(id, 1, 1, be.vw.Members[id].Since, "e1"))
+		be.ok(be.consent(id, 1, 1, be.vw.Members[id].SinceIndex, "e1"))
 		be.ok(command.Command{Reboot: &command.RebootDone{Instance: id, Operation: be.vw.Members[id].Operation}})
 		if id == "n0" {
 			be.ok(command.Command{Stuck: &command.Stuck{Instance: id}})
@@ -274,7 +274,7 @@
 	be.ok(report(1, 4, 3)) // a late report of the earlier incarnation
 	be.ok(report(2, 1, 1))
 	be.mc.Read(func(rd Reader) {
-		require.Equal(t, []UsageLine{{Service: "desk", Totals: Totals{Done: 18, BusyMillis: 180}}}, rd.Usage())
+		require.Equal(t, []UsageLine{{Service: "desk", UsageTotals: UsageTotals{Done: 18, BusyMillis: 180}}}, rd.Usage())
 	})
 }
 
--- a/internal/fleet/machine/reader.go
+++ b/internal/fleet/fsm/reader.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"sort"
@@ -29,14 +29,14 @@
 // EffectIndex returns the index of the last effect on views.
 func (rd Reader) EffectIndex() uint64 { return rd.st.EffectIndex }
 
-// Number returns the number of the configuration in force.
-func (rd Reader) Number() uint64 { return rd.st.Number }
+// ConfigNumber returns the number of the configuration in force.
+func (rd Reader) ConfigNumber() uint64 { return rd.st.Number }
 
 // Config returns the configuration in force.
 func (rd Reader) Config() model.Config { return rd.st.Config }
 
 // History returns the last changes of the configuration, oldest first.
-func (rd Reader) History() []Change { return append([]Change{}, rd.st.History...) }
+func (rd Reader) History() []ConfigChange { return append([]ConfigChange{}, rd.st.History...) }
 
 // Members returns all members.
 func (rd Reader) Members() map[weir.InstanceID]view.Member { return rd.st.Members }
@@ -44,8 +44,8 @@
 // Statuses returns what is known of all instances.
 func (rd Reader) Statuses() map[weir.InstanceID]command.Status { return rd.st.Statuses }
 
-// Moves returns how many moves between pools were completed.
-func (rd Reader) Moves() uint64 { return rd.st.Moves }
+// CompletedMoves returns how many moves between pools were completed.
+func (rd Reader) CompletedMoves() uint64 { return rd.st.Moves }
 
 // Processes returns the zones of the entry instances that are known.
 func (rd Reader) Processes() map[string]weir.Zone { return rd.st.Processes }
--- a/internal/fleet/machine/state.go
+++ b/internal/fleet/fsm/state.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"time"
@@ -34,8 +34,8 @@
 	EndedAt     time.Time                `json:"endedAt"`
 }
 
-// Change is one line of the configuration's history.
-type Change struct {
+// ConfigChange is one line of the configuration's history.
+type ConfigChange struct {
 	Number    uint64    `json:"number"`
 	Index     uint64    `json:"index"`
 	Checksum  string    `json:"checksum"`
@@ -45,8 +45,8 @@
 	Note      string    `json:"note,omitempty"`
 }
 
-// Totals is settled usage.
-type Totals struct {
+// UsageTotals is settled usage.
+type UsageTotals struct {
 	Done       uint64 `json:"done"`
 	Failed     uint64 `json:"failed"`
 	BusyMillis uint64 `json:"busyMillis"`
@@ -62,7 +62,7 @@
 type UsageLine struct {
 	Service weir.ServiceName `json:"service"`
 	Team    weir.TeamName    `json:"team,omitempty"`
-	Totals
+	UsageTotals
 }
 
 // mark is the last settled report of an instance. The incarnation before the
@@ -77,7 +77,7 @@
 // request is a remembered operator request.
 type request struct {
 	ID     string         `json:"id"`
-	Answer command.Answer `json:"answer"`
+	Answer command.Result `json:"answer"`
 }
 
 // state is everything that the log decides; it is what snapshots hold.
@@ -86,7 +86,7 @@
 	EffectIndex uint64                             `json:"effectIndex"`
 	Number      uint64                             `json:"number"`
 	Config      model.Config                       `json:"config"`
-	History     []Change                           `json:"history"`
+	History     []ConfigChange                     `json:"history"`
 	Members     map[weir.InstanceID]view.Member    `json:"members"`
 	Statuses    map[weir.InstanceID]command.Status `json:"statuses"`
 	Waves       map[string]*Wave                   `json:"waves"`
@@ -96,8 +96,8 @@
 	Moves       uint64                             `json:"moves"`
 	Processes   map[string]weir.Zone               `json:"processes"`
 
-	usage    map[usageKey]*Totals
-	requests map[string]command.Answer
+	usage    map[usageKey]*UsageTotals
+	requests map[string]command.Result
 	// available counts the members of each pool that serve and are up, sizes
 	// all its members.
 	available map[weir.PoolName]int
@@ -116,12 +116,12 @@
 
 // index builds what is derived from the stored fields.
 func (st *state) index() {
-	st.usage = make(map[usageKey]*Totals, len(st.Usage))
+	st.usage = make(map[usageKey]*UsageTotals, len(st.Usage))
 	for _, line := range st.Usage {
-		totals := line.Totals
+		totals := line.UsageTotals
 		st.usage[usageKey{line.Service, line.Team}] = &totals
 	}
-	st.requests = make(map[string]command.Answer, len(st.Requests))
+	st.requests = make(map[string]command.Result, len(st.Requests))
 	for _, req := range st.Requests {
 		st.requests[req.ID] = req.Answer
 	}
--- a/internal/fleet/machine/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -1,4 +1,4 @@
-package machine
+package fsm
 
 import (
 	"slices"
@@ -10,7 +10,7 @@
 	weir "greengageweir"
 )
 
-func (st *state) applyWave(cmd command.Command) command.Answer {
+func (st *state) applyWave(cmd command.Command) command.Result {
 	wc := cmd.Wave
 	if _, ok := st.Waves[wc.Name]; ok {
 		return refuse(command.RefusedConflict, "wave %s exists already", wc.Name)
@@ -20,12 +20,12 @@
 	}
 	for _, pool := range wc.Pools {
 		if _, ok := st.Config.Pools[pool]; !ok {
-			return refuse(command.RefusedUnknown, "no pool is named %s", pool)
+			return refuse(command.RefusedNotFound, "no pool is named %s", pool)
 		}
 	}
 	for _, zone := range wc.Zones {
 		if _, ok := st.Config.Sites[zone]; !ok {
-			return refuse(command.RefusedUnknown, "no site is named %s", zone)
+			return refuse(command.RefusedNotFound, "no site is named %s", zone)
 		}
 	}
 	wave := &Wave{
@@ -36,7 +36,7 @@
 	st.Waves[wc.Name] = wave
 	wave.end(cmd.At)
 	st.forgetWaves()
-	return command.Answer{}
+	return command.Result{}
 }
 
 func (st *state) selectInstances(wc *command.WaveCreate) map[weir.InstanceID]bool {
@@ -54,11 +54,11 @@
 	return len(filter) == 0 || slices.Contains(filter, val)
 }
 
-func (st *state) applyWaveSet(cmd command.Command) command.Answer {
+func (st *state) applyWaveSet(cmd command.Command) command.Result {
 	ws := cmd.WaveSet
 	wave, ok := st.Waves[ws.Name]
 	if !ok {
-		return refuse(command.RefusedUnknown, "no wave is named %s", ws.Name)
+		return refuse(command.RefusedNotFound, "no wave is named %s", ws.Name)
 	}
 	switch {
 	case ws.Action == command.WavePause && wave.State == WaveRunning:
@@ -70,9 +70,9 @@
 		wave.State = WaveAborted
 		wave.EndedAt = cmd.At
 	default:
-		return refuse(command.RefusedState, "cannot %s wave %s, it is %s", ws.Action, ws.Name, wave.State)
+		return refuse(command.RefusedWrongState, "cannot %s wave %s, it is %s", ws.Action, ws.Name, wave.State)
 	}
-	return command.Answer{}
+	return command.Result{}
 }
 
 // end marks a wave without work left as done.
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -24,7 +24,7 @@
 const KindGap Kind = "effects are missing"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // Phase is where an instance is between serving and maintenance.
 type Phase string
@@ -54,42 +54,42 @@
 	Instance weir.InstanceID `json:"instance"`
 	Zone     weir.Zone       `json:"zone"`
 	Pool     weir.PoolName   `json:"pool"`
-	// Home is the pool that the configuration names; empty once it is gone
+	// ConfiguredPool is the pool that the configuration names; empty once it is gone
 	// from the configuration.
-	Home    weir.PoolName `json:"home,omitempty"`
-	Lent    bool          `json:"lent,omitempty"`
-	Phase   Phase         `json:"phase"`
-	Purpose Purpose       `json:"purpose,omitempty"`
-	To      weir.PoolName `json:"to,omitempty"`
-	Wave    string        `json:"wave,omitempty"`
+	ConfiguredPool weir.PoolName `json:"home,omitempty"`
+	Lent           bool          `json:"lent,omitempty"`
+	Phase          Phase         `json:"phase"`
+	Purpose        Purpose       `json:"purpose,omitempty"`
+	TargetPool     weir.PoolName `json:"to,omitempty"`
+	Wave           string        `json:"wave,omitempty"`
 	// Operation identifies a platform call for all retries of it.
 	Operation string `json:"operation,omitempty"`
 	// OldIncarnation is the one that was rebooted.
 	OldIncarnation uint64 `json:"oldIncarnation,omitempty"`
-	// Since is the index and SinceAt the time of the present phase.
-	Since   uint64    `json:"since"`
-	SinceAt time.Time `json:"sinceAt"`
-	Stuck   bool      `json:"stuck,omitempty"`
+	// SinceIndex is the index and SinceAt the time of the present phase.
+	SinceIndex uint64    `json:"since"`
+	SinceAt    time.Time `json:"sinceAt"`
+	Stuck      bool      `json:"stuck,omitempty"`
 }
 
 // Effect is what one index of the log changes in views.
 type Effect struct {
-	// After is the index of the effect before this one.
-	After   uint64            `json:"after"`
-	Index   uint64            `json:"index"`
-	Number  uint64            `json:"number,omitempty"`
-	Config  *model.Delta      `json:"config,omitempty"`
-	Members []Member          `json:"members,omitempty"`
-	Gone    []weir.InstanceID `json:"gone,omitempty"`
+	// PrevIndex is the index of the effect before this one.
+	PrevIndex    uint64            `json:"after"`
+	Index        uint64            `json:"index"`
+	ConfigNumber uint64            `json:"number,omitempty"`
+	Config       *model.Delta      `json:"config,omitempty"`
+	Members      []Member          `json:"members,omitempty"`
+	Removed      []weir.InstanceID `json:"gone,omitempty"`
 }
 
 // View is the state at one index. Treat it as immutable.
 type View struct {
 	Index uint64 `json:"index"`
-	// Number is the number of the configuration in force.
-	Number  uint64                     `json:"number"`
-	Config  model.Config               `json:"config"`
-	Members map[weir.InstanceID]Member `json:"members"`
+	// ConfigNumber is the number of the configuration in force.
+	ConfigNumber uint64                     `json:"number"`
+	Config       model.Config               `json:"config"`
+	Members      map[weir.InstanceID]Member `json:"members"`
 }
 
 // With returns the view changed by an effect. An effect that is not newer
@@ -98,15 +98,15 @@
 	if eff.Index <= vw.Index {
 		return vw, nil
 	}
-	if eff.After != vw.Index {
+	if eff.PrevIndex != vw.Index {
 		return vw, &Error{Op: "apply effect", Kind: KindGap}
 	}
 	vw.Index = eff.Index
 	if eff.Config != nil {
 		vw.Config = vw.Config.With(*eff.Config)
-		vw.Number = eff.Number
+		vw.ConfigNumber = eff.ConfigNumber
 	}
-	if len(eff.Members)+len(eff.Gone) == 0 {
+	if len(eff.Members)+len(eff.Removed) == 0 {
 		return vw, nil
 	}
 	members := make(map[weir.InstanceID]Member, len(vw.Members)+len(eff.Members))
@@ -116,7 +116,7 @@
 	for _, mem := range eff.Members {
 		members[mem.Instance] = mem
 	}
-	for _, id := range eff.Gone {
+	for _, id := range eff.Removed {
 		delete(members, id)
 	}
 	vw.Members = members
--- a/internal/job/service/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -1,4 +1,4 @@
-package service_test
+package handler_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/job/owner"
-	"greengageweir/internal/job/service"
+	"greengageweir/internal/job/handler"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
@@ -25,14 +25,14 @@
 // TestFollowerAnswersAnnouncementsThatChangeNothing keeps the beats of a large
 // fleet away from the leader.
 func TestFollowerAnswersAnnouncementsThatChangeNothing(t *testing.T) {
-	word := store.Worker{ID: "w1", Born: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
+	word := store.Worker{ID: "w1", Incarnation: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
 	st := store.New()
 	data, err := store.Entry{Changes: []store.Change{{Join: &word}}}.Encode()
 	require.NoError(t, err)
 	st.Apply(1, data)
 	ask := func(leader following, ann store.Worker) jobapi.Reply {
-		sv := &service.Service{
-			Self: "c1", Store: st, Owner: &owner.Owner{Store: st}, Lead: leader, Clock: clock.Steady{}, Wall: clock.Wall{},
+		sv := &handler.Handler{
+			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/internal/job/service/service.go
+++ b/internal/job/handler/service.go
@@ -5,15 +5,15 @@
 //
 //	sv := &service.Service{Store: st, Committer: cm, Owner: ow, ...}
 //	rep := sv.Handle(ctx, jobapi.Call{Kind: jobapi.State, Host: host, Path: path})
-package service
+package handler
 
 import (
 	"context"
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
-	"greengageweir/internal/job/owner"
+	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
@@ -38,19 +38,19 @@
 	retryUnavailable = time.Second
 )
 
-// Lead tells who leads.
-type Lead interface {
+// LeaderTracker tells who leads.
+type LeaderTracker interface {
 	// LeaderID returns the process that leads, "" where none is known.
 	LeaderID() string
 }
 
-// Service answers calls. Set the exported fields before use.
-type Service struct {
+// Handler answers calls. Set the exported fields before use.
+type Handler struct {
 	Self      string
 	Store     *store.Store
-	Committer *owner.Committer
-	Owner     *owner.Owner
-	Lead      Lead
+	Committer *scheduler.Committer
+	Owner     *scheduler.Scheduler
+	Leader    LeaderTracker
 	Links     *links.Links
 	Clock     weir.Clock
 	Wall      weir.Clock
@@ -58,7 +58,7 @@
 }
 
 // Handle implements jobapi.Handler.
-func (sv *Service) Handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) Handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	begin := sv.Clock.Now()
 	rep := sv.handle(ctx, call)
 	took := sv.Clock.Now().Sub(begin)
@@ -77,7 +77,7 @@
 }
 
 // handle does what a call needs where it comes in; the rest is the leader's.
-func (sv *Service) handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if call.Hops == 0 {
 		switch call.Kind {
 		case jobapi.Announce:
@@ -94,7 +94,7 @@
 
 // takeAnnouncement spares the leader what a follower knows to be committed, and
 // keeps the worker's next announcements here.
-func (sv *Service) takeAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) takeAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if sv.follows() && sv.known(*call.Worker) {
 		return jobapi.Reply{Outcome: jobapi.OK, AnnounceTo: sv.Self}
 	}
@@ -106,23 +106,23 @@
 }
 
 // follows reports whether this process follows a leader that it hears.
-func (sv *Service) follows() bool {
-	leader := sv.Lead.LeaderID()
+func (sv *Handler) follows() bool {
+	leader := sv.Leader.LeaderID()
 	return leader != "" && leader != sv.Self
 }
 
 // known reports whether a worker's word about itself is nothing new.
-func (sv *Service) known(ann jobapi.Announcement) bool {
+func (sv *Handler) known(ann jobapi.Announcement) bool {
 	known := false
 	sv.Store.Read(func(rd store.Reader) {
 		wk, ok := rd.Worker(ann.ID)
-		known = ok && wk.Same(ann.Worker)
+		known = ok && wk.EqualIgnoringSequence(ann.Worker)
 	})
 	return known
 }
 
 // dispatch answers a call as the leader, or passes it on to the one that leads.
-func (sv *Service) dispatch(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) dispatch(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	until := sv.Clock.Now().Add(leaderWait)
 	for {
 		if sv.Owner.Ready() {
@@ -130,7 +130,7 @@
 			rep.Leader = sv.Self
 			return rep
 		}
-		leader := sv.Lead.LeaderID()
+		leader := sv.Leader.LeaderID()
 		if leader != "" && leader != sv.Self && call.Hops < maxHops {
 			rep, sent := sv.forward(ctx, leader, call)
 			if sent {
@@ -152,27 +152,27 @@
 
 // forward passes a call on. It reports false where the call certainly had no
 // effect and may be tried again.
-func (sv *Service) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
+func (sv *Handler) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
 	call.Hops++
 	var rep jobapi.Reply
-	err := sv.Links.Call(ctx, leader, jobapi.Method, call, &rep)
+	err := sv.Links.Call(ctx, leader, jobapi.CallMethod, call, &rep)
 	switch {
 	case err == nil && rep.Outcome == jobapi.Unavailable:
 		return rep, false
 	case err == nil:
 		return rep, true
-	case fault.Is(err, peer.KindNotSent) || fault.Is(err, links.KindNoPeer):
+	case errkind.Is(err, peer.KindNotSent) || errkind.Is(err, links.KindNoPeer):
 		return jobapi.Reply{}, false
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: "no answer from the leader"}, true
 }
 
 // answer answers a call as the leader.
-func (sv *Service) answer(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) answer(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	switch call.Kind {
 	case jobapi.Submit:
 		return sv.submit(ctx, call)
-	case jobapi.State:
+	case jobapi.GetState:
 		return sv.state(call)
 	case jobapi.Cancel:
 		return sv.cancel(ctx, call)
@@ -193,7 +193,7 @@
 }
 
 // commit makes a change and returns what to reply where that fails.
-func (sv *Service) commit(ctx context.Context, ch store.Change) (store.Answer, *jobapi.Reply) {
+func (sv *Handler) commit(ctx context.Context, ch store.Change) (store.Result, *jobapi.Reply) {
 	ans, err := sv.Committer.Commit(ctx, ch)
 	if err != nil {
 		rep := failure(err)
@@ -205,7 +205,7 @@
 // failure is the reply to a call whose change was not committed, or perhaps
 // not.
 func failure(err error) jobapi.Reply {
-	if fault.Is(err, owner.KindBusy) || fault.Is(err, node.KindBusy) || fault.Is(err, node.KindNotLeader) {
+	if errkind.Is(err, scheduler.KindBusy) || errkind.Is(err, node.KindBusy) || errkind.Is(err, node.KindNotLeader) {
 		return jobapi.Reply{Outcome: jobapi.Unavailable, Reason: err.Error(), RetryAfter: retryUnavailable}
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: err.Error()}
@@ -214,12 +214,12 @@
 // noCatalog is the answer before the first configuration.
 var noCatalog = jobapi.Reply{Outcome: jobapi.Unavailable, Reason: "no configuration yet", RetryAfter: retryUnavailable}
 
-func (sv *Service) submit(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) submit(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	var rep *jobapi.Reply
 	jb := *call.Job
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
-		qu, id, ok := jobapi.QueueOf(ct, call.Host, call.Path)
+		qu, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path)
 		switch {
 		case ct.Version == 0:
 			rep = &noCatalog
@@ -243,7 +243,7 @@
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "job accepted", "job", jb.ID, "queue", jb.Queue, "steps", len(jb.Steps),
-		"tasks", jb.Tasks(), "lasting", jb.Lasting(), "times", jb.Times)
+		"tasks", jb.Tasks(), "lasting", jb.LongRunning(), "times", jb.OccurrenceCount)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Queued}
 }
@@ -254,7 +254,7 @@
 	if ct.Version == 0 {
 		return nil, &noCatalog
 	}
-	_, id, ok := jobapi.QueueOf(ct, call.Host, call.Path)
+	_, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path)
 	if !ok {
 		return nil, &jobapi.Reply{Outcome: jobapi.NoQueue}
 	}
@@ -266,11 +266,11 @@
 }
 
 // state tells a job's phase or, without a job's id, how many jobs wait.
-func (sv *Service) state(call jobapi.Call) jobapi.Reply {
+func (sv *Handler) state(call jobapi.Call) jobapi.Reply {
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
-		if qu, id, ok := jobapi.QueueOf(ct, call.Host, call.Path); ok && id == "" {
+		if qu, id, ok := jobapi.ResolveQueue(ct, call.Host, call.Path); ok && id == "" {
 			rep = jobapi.Reply{Outcome: jobapi.OK, Pending: rd.Pending(qu.Key())}
 			return
 		}
@@ -284,15 +284,15 @@
 	return rep
 }
 
-func (sv *Service) cancel(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	var id spec.ID
+func (sv *Handler) cancel(ctx context.Context, call jobapi.Call) jobapi.Reply {
+	var id spec.JobID
 	var rep *jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		js, failed := job(rd, call)
 		switch {
 		case failed != nil:
 			rep = failed
-		case js.Phase.Over():
+		case js.Phase.Terminal():
 			rep = &jobapi.Reply{Outcome: jobapi.OK, Phase: js.Phase}
 		default:
 			id = js.Spec.ID
@@ -310,9 +310,9 @@
 }
 
 // announce takes a worker's word about itself. Only what is new is committed.
-func (sv *Service) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
+func (sv *Handler) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ann := call.Worker
-	if !sv.Owner.Heard(*ann, sv.Clock.Now()) {
+	if !sv.Owner.RecordAnnouncement(*ann, sv.Clock.Now()) {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "out of date"}
 	}
 	if sv.known(*ann) {
@@ -323,16 +323,16 @@
 	if failed != nil {
 		return *failed
 	}
-	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Born, "pool", wk.Pool,
-		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Taken,
+	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Incarnation, "pool", wk.Pool,
+		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Applied,
 		"reason", ans.Reason)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
 }
 
 // depart ends a worker's life on its own word.
-func (sv *Service) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	known, err := sv.Owner.Departed(ctx, call.Worker.ID)
+func (sv *Handler) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
+	known, err := sv.Owner.DeregisterWorker(ctx, call.Worker.ID)
 	if err != nil {
 		return failure(err)
 	}
@@ -341,24 +341,24 @@
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
-func (sv *Service) startWave(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	if call.Wave.Number == 0 || call.Wave.AtOnce < 1 {
+func (sv *Handler) startWave(ctx context.Context, call jobapi.Call) jobapi.Reply {
+	if call.Wave.Number == 0 || call.Wave.MaxParallel < 1 {
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: "a wave has a number and at least one machine at a time"}
 	}
 	if _, failed := sv.commit(ctx, store.Change{Wave: call.Wave}); failed != nil {
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "wave accepted", "wave", call.Wave.Number,
-		"machines", len(call.Wave.Machines), "atOnce", call.Wave.AtOnce, "deadline", call.Wave.Deadline)
+		"machines", len(call.Wave.Machines), "atOnce", call.Wave.MaxParallel, "deadline", call.Wave.Deadline)
 	sv.Owner.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
-func (sv *Service) getWave(call jobapi.Call) jobapi.Reply {
+func (sv *Handler) getWave(call jobapi.Call) jobapi.Reply {
 	rep := jobapi.Reply{Outcome: jobapi.NoJob}
 	sv.Store.Read(func(rd store.Reader) {
 		if wv := rd.Waves()[call.Number]; wv != nil {
-			rep = jobapi.Reply{Outcome: jobapi.OK, Done: wv.Done()}
+			rep = jobapi.Reply{Outcome: jobapi.OK, Done: wv.AllStarted()}
 		}
 	})
 	return rep
--- a/internal/job/service/service_test.go
+++ b/internal/job/handler/service_test.go
@@ -1,4 +1,4 @@
-package service_test
+package handler_test
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/job/owner"
-	"greengageweir/internal/job/service"
+	"greengageweir/internal/job/handler"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/link/peer"
@@ -54,7 +54,7 @@
 // Advise implements weir.Adviser.
 func (sy *system) Advise(context.Context, weir.TaskRef, []weir.InstanceID) (weir.Advice, error) {
 	if sy.asked.Add(1) == 1 {
-		return weir.Advice{}, &owner.Error{Op: "advise", Kind: owner.KindBusy}
+		return weir.Advice{}, &scheduler.Error{Op: "advise", Kind: scheduler.KindBusy}
 	}
 	return weir.Advice{Tickets: map[weir.InstanceID]string{"w1": "ticket"}, Validity: 500 * time.Millisecond}, nil
 }
@@ -68,7 +68,7 @@
 		t.Cleanup(srv.Close)
 		sy.workers = append(sy.workers, wk)
 		sy.calls = append(sy.calls, jobapi.Announcement{Worker: store.Worker{
-			ID: wk.ID, Born: 1, Pool: "desk", Address: srv.Listener.Addr().String(), Room: spec.Need{MilliCPU: 4000, MemoryMB: 1000},
+			ID: wk.ID, Incarnation: 1, Pool: "desk", Address: srv.Listener.Addr().String(), Capacity: spec.Resources{MilliCPU: 4000, MemoryMB: 1000},
 		}})
 	}
 	sy.start()
@@ -78,26 +78,26 @@
 
 // start runs the process on the data that is there.
 func (sy *system) start() {
-	steady, wall, lg := clock.Steady{}, clock.Wall{}, log.NewNopLogger()
+	steady, wall, lg := clock.BootTime{}, clock.Wall{}, log.NewNopLogger()
 	str := store.New()
 	str.Clock = steady
 	lks := &links.Links{Self: peer.Identity{ID: self}, Token: "token", Logger: lg}
 	nod := &node.Node{
-		ID: self, Dir: sy.dir, Machine: str, Send: lks.Send, Clock: steady, Logger: lg,
+		ID: self, Dir: sy.dir, StateMachine: str, Send: lks.Send, Clock: steady, Logger: lg,
 		Heartbeat: 20 * time.Millisecond, Election: 150 * time.Millisecond,
 	}
-	com := &owner.Committer{Log: nod, Wall: wall}
-	own := &owner.Owner{
-		Store: str, Committer: com, Lead: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
+	com := &scheduler.Committer{Log: nod, Wall: wall}
+	own := &scheduler.Scheduler{
+		Store: str, Committer: com, Leadership: nod, Workers: taskapi.NewClient(steady), Clock: steady, Wall: wall, Logger: lg,
 		Lease: 3 * time.Second, Retention: time.Minute, Adviser: sy,
 	}
-	str.Applied = own.Wake
-	svc := &service.Service{
-		Self: self, Store: str, Committer: com, Owner: own, Lead: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
+	str.OnApplied = own.Wake
+	svc := &handler.Handler{
+		Self: self, Store: str, Committer: com, Owner: own, Leader: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	steps := []weir.Step{lks, nod, com, own}
+	steps := []weir.Component{lks, nod, com, own}
 	require.NoError(sy.t, run.Defaults(steps...))
 	for _, stp := range steps {
 		wg.Go(func() { _ = stp.Run(ctx) })
@@ -231,7 +231,7 @@
 	refused := func(outcome jobapi.Outcome, method, path string, body any) {
 		t.Helper()
 		ans, err := sy.do(method, path, body)
-		require.True(t, fault.Is(err, jobhttp.KindRefused), "%v", err)
+		require.True(t, errkind.Is(err, jobhttp.KindRefused), "%v", err)
 		require.Equal(t, outcome, ans.Outcome)
 	}
 	put(t, sy)
--- a/internal/job/owner/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"context"
@@ -34,7 +34,7 @@
 }
 
 // list reads the platform's list of machines, away from the round.
-func (ow *Owner) list(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) list(ctx context.Context, re *reign, now time.Time) {
 	md := re.machines
 	if md.listing || now.Sub(md.listedAt) < listEvery {
 		return
@@ -60,7 +60,7 @@
 }
 
 // balance moves machines to where they are needed.
-func (ow *Owner) balance(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) {
+func (ow *Scheduler) balance(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) {
 	md := re.machines
 	loads := ow.loads(rd)
 	machines := ow.fleet(re, rd, byMachine, now)
@@ -121,19 +121,19 @@
 }
 
 // loads sums up what the queues of each pool ask for.
-func (ow *Owner) loads(rd store.Reader) map[weir.PoolName]balance.Load {
+func (ow *Scheduler) loads(rd store.Reader) map[weir.PoolName]balance.Load {
 	wall := ow.Wall.Now()
 	loads := map[weir.PoolName]balance.Load{}
 	largest := 0
 	rd.EachWorker(func(wk store.Worker) {
 		ld := loads[wk.Pool]
-		ld.PerMachine = max(ld.PerMachine, wk.Room.MilliCPU)
+		ld.PerMachine = max(ld.PerMachine, wk.Capacity.MilliCPU)
 		largest = max(largest, ld.PerMachine)
 		loads[wk.Pool] = ld
 	})
-	rd.EachActive(func(js *store.JobState) {
+	rd.EachActiveJob(func(js *store.JobState) {
 		qu, ok := rd.Queue(js.Spec.Queue)
-		if !ok || js.Phase.Over() {
+		if !ok || js.Phase.Terminal() {
 			return
 		}
 		ld := loads[qu.Pool]
@@ -146,19 +146,19 @@
 
 func addLoad(ld *balance.Load, js *store.JobState, wall time.Time) {
 	fresh := wall.Sub(js.Accepted) < balance.Window
-	for oc, round := range js.Rounds {
+	for oc, round := range js.Occurrences {
 		if js.Spec.DueAt(oc).After(wall) {
 			break
 		}
 		for sp := range round {
 			step := js.Spec.Steps[sp]
-			cpu := step.Counted().MilliCPU
+			cpu := step.Reserved().MilliCPU
 			if cpu > ld.PerMachine {
 				continue // no machine can run it
 			}
-			if step.Lasting {
+			if step.LongRunning {
 				ld.Lasting += cpu * step.Count
-				ld.Spread = max(ld.Spread, step.Spread())
+				ld.Spread = max(ld.Spread, step.MinWorkers())
 				continue
 			}
 			if fresh {
@@ -179,7 +179,7 @@
 }
 
 // fleet lists the machines and what they are doing.
-func (ow *Owner) fleet(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) []balance.Machine {
+func (ow *Scheduler) fleet(re *reign, rd store.Reader, byMachine map[string]store.Worker, now time.Time) []balance.Machine {
 	md := re.machines
 	var out []balance.Machine
 	for name, wk := range byMachine {
@@ -187,14 +187,14 @@
 			continue
 		}
 		at := re.sessions[wk.ID]
-		if at == nil || at.ss.Failing() || wk.Draining {
+		if at == nil || at.ss.Unreachable() || wk.Draining {
 			continue // it serves nobody now
 		}
 		mc := balance.Machine{Name: name, Pool: wk.Pool}
 		ca := ow.candidate(re, rd, name, wk)
 		mc.Work = ca.work
 		mc.Free = ca.lasting == 0 && at.ss.Usable() && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)
-		if op, ok := rd.Order(name); ok && op.Pool != "" {
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
 			mc.Pool = op.Pool
 		}
 		out = append(out, mc)
@@ -214,7 +214,7 @@
 		if to, ok := md.sent[name]; ok && to.at.After(md.listedAt.Add(-listEvery)) && now.Sub(to.at) < sentFor {
 			mc.Pool, mc.Free = to.pool, false
 		}
-		if op, ok := rd.Order(name); ok && op.Pool != "" {
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
 			mc.Pool, mc.Free = op.Pool, false
 		}
 		out = append(out, mc)
@@ -224,6 +224,6 @@
 
 // engaged reports whether an operation on a machine is under way or near.
 func (md *machineDuty) engaged(rd store.Reader, machine string) bool {
-	_, ordered := rd.Order(machine)
+	_, ordered := rd.MachineOperation(machine)
 	return ordered || md.intent[machine] || md.cordoned(machine)
 }
--- a/internal/job/owner/blocked_test.go
+++ b/internal/job/scheduler/blocked_test.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 	reports map[weir.InstanceID]weir.WorkerReport
 }
 
-func (rp reporting) Renew(_ context.Context, life weir.WorkerLife, _ weir.RenewOrder) (weir.WorkerReport, error) {
+func (rp reporting) Renew(_ context.Context, life weir.WorkerIncarnation, _ weir.RenewOrder) (weir.WorkerReport, error) {
 	return rp.reports[life.ID], nil
 }
 
@@ -34,28 +34,28 @@
 
 // lastingFleet is a step of three lasting tasks, one each on w0, w1 and w2, of
 // which one may be away, and an owner with sessions to the workers.
-func lastingFleet(t *testing.T, percent map[string]int) (*Owner, *reign) {
+func lastingFleet(t *testing.T, percent map[string]int) (*Scheduler, *reign) {
 	st := store.New()
 	index := uint64(0)
 	apply := func(ch store.Change) {
 		data, err := store.Entry{At: testNow, Changes: []store.Change{ch}}.Encode()
 		require.NoError(t, err)
 		index++
-		answers, ok := st.Apply(index, data).([]store.Answer)
+		answers, ok := st.Apply(index, data).([]store.Result)
 		require.True(t, ok)
-		require.True(t, answers[0].Taken, answers[0].Reason)
+		require.True(t, answers[0].Applied, answers[0].Reason)
 	}
-	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, Lasting: true, MaxAway: 1}}}})
-	ow := &Owner{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 3, LongRunning: true, MaxUnavailable: 1}}}})
+	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, evicted: map[weir.RunKey]bool{}, machines: newMachineDuty(0)}
 	for ix := range 3 {
 		id := fmt.Sprint("w", ix)
-		wk := store.Worker{ID: weir.InstanceID(id), Born: 1, Address: id, Machine: "m" + id}
-		key := weir.RunKey{Task: spec.Ref{Job: "a", Index: ix}, Run: 1}
+		wk := store.Worker{ID: weir.InstanceID(id), Incarnation: 1, Address: id, Machine: "m" + id}
+		key := weir.RunKey{Task: spec.TaskRef{Job: "a", Index: ix}, Run: 1}
 		apply(store.Change{Join: &wk})
-		apply(store.Change{Start: &store.Start{Task: key.Task, Run: 1, Worker: wk.ID, Born: 1}})
+		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Incarnation: 1}})
 		ss := &session.Session{
-			Life: weir.WorkerLife{ID: wk.ID, Born: 1}, Lease: time.Second, Leads: leads{}, Clock: clock.Steady{}, Changed: func() {},
+			Worker: weir.WorkerIncarnation{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: reporting{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
 				Clock: time.Hour, Born: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
 			}}},
@@ -74,7 +74,7 @@
 // elsewhere counts as away.
 func TestPlannedWorkRespectsTasksThatAreAway(t *testing.T) {
 	allWork := map[string]int{"w0": 100, "w1": 100, "w2": 100}
-	blocked := func(ow *Owner, re *reign) (found bool) {
+	blocked := func(ow *Scheduler, re *reign) (found bool) {
 		ow.Store.Read(func(rd store.Reader) {
 			step, _ := ow.blocked(re, rd, "w0")
 			found = step != nil
@@ -88,9 +88,9 @@
 	require.True(t, blocked(ow, re), "w1 is about to go")
 	delete(re.machines.intent, "mw1")
 
-	re.evicted[weir.RunKey{Task: spec.Ref{Job: "a", Index: 2}, Run: 1}] = true
+	re.evicted[weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 1}] = true
 	require.True(t, blocked(ow, re), "a task elsewhere is being stopped")
-	delete(re.evicted, weir.RunKey{Task: spec.Ref{Job: "a", Index: 2}, Run: 1})
+	delete(re.evicted, weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 1})
 
 	delete(re.sessions, "w2")
 	require.True(t, blocked(ow, re), "nothing is heard of w2")
--- a/internal/job/owner/late_answer_test.go
+++ b/internal/job/scheduler/late_answer_test.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	orders chan weir.MachineOrder
 }
 
-func (db *doneBefore) Order(_ context.Context, order weir.MachineOrder) (weir.MachineAnswer, error) {
+func (db *doneBefore) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
 	db.orders <- order
 	return weir.MachineAccepted, nil
 }
@@ -44,10 +44,10 @@
 // moved by an order without an answer: its next worker runs a task when the
 // order, sent again, is answered.
 func TestLateAnswerEndsOnlyTheLifeThatWasOrderedAway(t *testing.T) {
-	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Born: 1}
-	next := store.Worker{ID: "w2", Born: 2, Address: "w2", Machine: "mw0"}
+	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Incarnation: 1}
+	next := store.Worker{ID: "w2", Incarnation: 2, Address: "w2", Machine: "mw0"}
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, store.Change{Machine: &move},
-		store.Change{Join: &next}, store.Change{Start: &store.Start{Task: spec.Ref{Job: "a"}, Run: 1, Worker: "w2", Born: 2}})
+		store.Change{Join: &next}, store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a"}, Run: 1, Worker: "w2", Incarnation: 2}})
 	gl := &gatedLog{st: st, index: 1, gate: make(chan struct{})}
 	com := &Committer{Log: gl, Wall: clock.Wall{}}
 	require.NoError(t, com.Default())
@@ -55,8 +55,8 @@
 	defer cancel()
 	go func() { _ = com.Run(ctx) }()
 	db := &doneBefore{orders: make(chan weir.MachineOrder, 8)}
-	ow := &Owner{
-		Store: st, Machines: db, Lead: firstTerm{}, Committer: com, Clock: clock.Steady{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
+	ow := &Scheduler{
+		Store: st, Machines: db, Leadership: firstTerm{}, Committer: com, Clock: clock.BootTime{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
 	}
 	re := &reign{term: 1, since: testNow, machines: newMachineDuty(0), sessions: map[weir.InstanceID]*attended{}}
 	re.machines.mine["mw0"] = true
@@ -75,11 +75,11 @@
 	close(gl.gate)
 	require.Eventually(t, func() bool {
 		open := true
-		st.Read(func(rd store.Reader) { _, open = rd.Order("mw0") })
+		st.Read(func(rd store.Reader) { _, open = rd.MachineOperation("mw0") })
 		return !open
 	}, 10*time.Second, time.Millisecond)
 	st.Read(func(rd store.Reader) {
-		require.True(t, rd.Job("a").Task(spec.Ref{Job: "a"}).Placed(), "the run at the next life goes on")
+		require.True(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed(), "the run at the next life goes on")
 		_, ok := rd.Worker("w2")
 		require.True(t, ok)
 	})
--- a/internal/job/owner/maintain.go
+++ b/internal/job/scheduler/maintain.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"cmp"
@@ -89,13 +89,13 @@
 	if machine == "" {
 		return false
 	}
-	_, ordered := rd.Order(machine)
+	_, ordered := rd.MachineOperation(machine)
 	return ordered || md.cordoned(machine) || md.intent[machine] || md.leaving[machine]
 }
 
 // maintain carries on what is asked of machines: it begins maintenance that may
 // begin, and moves machines.
-func (ow *Owner) maintain(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) maintain(ctx context.Context, re *reign, now time.Time) {
 	if ow.Machines == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 		rd.EachWorker(func(wk store.Worker) { byMachine[wk.Machine] = wk })
 		numbers := make([]int64, 0, len(rd.Waves()))
 		for number, wv := range rd.Waves() {
-			if !wv.Done() || md.cordonsAny(wv) {
+			if !wv.AllStarted() || md.cordonsAny(wv) {
 				numbers = append(numbers, number)
 			}
 		}
@@ -120,7 +120,7 @@
 
 // orderMachines sends the orders that are committed and not known to be done,
 // as fast as the platform takes them.
-func (ow *Owner) orderMachines(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) orderMachines(ctx context.Context, re *reign, now time.Time) {
 	if ow.Machines == nil {
 		return
 	}
@@ -140,24 +140,24 @@
 // myTurn reports whether this leader may order a machine about: it did so
 // last, or an earlier leader's last order is long enough ago. An order that
 // is not known to be done may have been repeated until the election.
-func (ow *Owner) myTurn(re *reign, rd store.Reader, machine string, now time.Time) bool {
+func (ow *Scheduler) myTurn(re *reign, rd store.Reader, machine string, now time.Time) bool {
 	if re.machines.mine[machine] {
 		return true
 	}
-	last := rd.OrderedAt(machine)
-	if _, open := rd.Order(machine); open && last.Before(re.since) {
+	last := rd.MachineOperationSeenAt(machine)
+	if _, open := rd.MachineOperation(machine); open && last.Before(re.since) {
 		last = re.since
 	}
-	return now.Sub(last) >= ow.OrderPause
+	return now.Sub(last) >= ow.MachineOrderDelay
 }
 
 // unanswered lists the orders that are committed and not known to be done:
 // first machines for pools that work, then maintenance, then what goes to stand
 // by.
-func (ow *Owner) unanswered(re *reign, rd store.Reader, now time.Time) []weir.MachineOrder {
+func (ow *Scheduler) unanswered(re *reign, rd store.Reader, now time.Time) []weir.MachineOrder {
 	md := re.machines
 	var orders []weir.MachineOrder
-	rd.EachOrder(func(op store.MachineOperation) {
+	rd.EachMachineOperation(func(op store.MachineOperation) {
 		if !md.busy[op.Machine] && now.Sub(md.asked[op.Machine]) >= machineRetry && ow.myTurn(re, rd, op.Machine, now) {
 			orders = append(orders, weir.MachineOrder{
 				Machine: op.Machine, Holder: ow.HolderName, Token: re.term, Wave: op.Wave, Pool: op.Pool,
@@ -182,12 +182,12 @@
 
 // intend commits that a machine is to be ordered about, which ends its present
 // worker; the order follows once the state says so.
-func (ow *Owner) intend(re *reign, op store.MachineOperation, wk store.Worker) {
+func (ow *Scheduler) intend(re *reign, op store.MachineOperation, wk store.Worker) {
 	md := re.machines
-	op.Worker, op.Born = wk.ID, wk.Born
+	op.Worker, op.Incarnation = wk.ID, wk.Incarnation
 	md.intent[op.Machine] = true
 	md.mine[op.Machine] = true
-	done := func([]store.Answer, error) {
+	done := func([]store.Result, error) {
 		ow.mu.Lock()
 		delete(md.intent, op.Machine)
 		ow.mu.Unlock()
@@ -207,32 +207,32 @@
 
 // back reports whether a machine's maintenance is over: it runs a worker
 // again, or it stands by, where none runs, and the platform lists it as up.
-func (ow *Owner) back(re *reign, wk store.Worker, machine string) bool {
+func (ow *Scheduler) back(re *reign, wk store.Worker, machine string) bool {
 	md := re.machines
 	if wk.ID == "" {
 		mc := md.listed[machine]
 		return mc.State == weir.MachineUp && md.listedAt.After(md.answered[machine])
 	}
-	if md.gone[machine] == wk.Born {
+	if md.gone[machine] == wk.Incarnation {
 		return false
 	}
 	at := re.sessions[wk.ID]
-	return at != nil && at.worker.Born == wk.Born && at.ss.Usable()
+	return at != nil && at.worker.Incarnation == wk.Incarnation && at.ss.Usable()
 }
 
-func (ow *Owner) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
+func (ow *Scheduler) candidate(re *reign, rd store.Reader, machine string, wk store.Worker) candidate {
 	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: re.machines.cordoned(machine)}
 	load := rd.Load(wk.ID)
-	ca.work, ca.lasting = load.Ending, load.Lasting
+	ca.work, ca.lasting = load.Batch, load.LongRunning
 	return ca
 }
 
 // orderMachine sends one order and records its answer.
-func (ow *Owner) orderMachine(ctx context.Context, re *reign, order weir.MachineOrder) {
+func (ow *Scheduler) orderMachine(ctx context.Context, re *reign, order weir.MachineOrder) {
 	defer ow.Wake()
 	callCtx, cancel := context.WithTimeout(ctx, machineTimeout)
 	defer cancel()
-	if !ow.Lead.Leads() {
+	if !ow.Leadership.Leads() {
 		ow.machineDone(re, order, nil)
 		return
 	}
@@ -246,16 +246,16 @@
 	op := &store.MachineOperation{Machine: order.Machine, Wave: order.Wave, Pool: order.Pool}
 	switch ans {
 	case weir.MachineAccepted:
-		op.Begun = true
+		op.Started = true
 	case weir.MachineRefused:
-		op.Void = true
+		op.NotExecuted = true
 	default:
 		op = nil
 	}
 	ow.machineDone(re, order, op)
 }
 
-func (ow *Owner) machineDone(re *reign, order weir.MachineOrder, op *store.MachineOperation) {
+func (ow *Scheduler) machineDone(re *reign, order weir.MachineOrder, op *store.MachineOperation) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if op == nil || ow.reign != re {
@@ -263,7 +263,7 @@
 		return
 	}
 	changes := []store.Change{{Machine: op}}
-	if op.Begun {
+	if op.Started {
 		re.machines.answered[order.Machine] = ow.Clock.Now()
 		if order.Pool != "" {
 			re.machines.sent[order.Machine] = sentTo{pool: order.Pool, at: ow.Clock.Now()}
@@ -271,7 +271,7 @@
 		ow.Store.Read(func(rd store.Reader) { changes = append(changes, ow.orderedAway(re, rd, order.Machine)...) })
 	}
 	// Until this is recorded the order would be sent again.
-	recorded := func([]store.Answer, error) {
+	recorded := func([]store.Result, error) {
 		ow.mu.Lock()
 		delete(re.machines.busy, order.Machine)
 		ow.mu.Unlock()
@@ -286,14 +286,14 @@
 // orderedAway returns the changes that end the life for which an operation was
 // meant. The machine may run a later one already, where an earlier order was
 // carried out without an answer; that one goes on.
-func (ow *Owner) orderedAway(re *reign, rd store.Reader, machine string) []store.Change {
-	op, ok := rd.Order(machine)
+func (ow *Scheduler) orderedAway(re *reign, rd store.Reader, machine string) []store.Change {
+	op, ok := rd.MachineOperation(machine)
 	if !ok || op.Worker == "" {
 		return nil
 	}
-	re.machines.gone[machine] = op.Born
+	re.machines.gone[machine] = op.Incarnation
 	wk, ok := rd.Worker(op.Worker)
-	if !ok || wk.Born != op.Born {
+	if !ok || wk.Incarnation != op.Incarnation {
 		return nil
 	}
 	return ow.leave(re, rd, wk, "machine ordered away")
