--- a/internal/job/owner/owner.go
+++ b/internal/job/scheduler/owner.go
@@ -7,7 +7,7 @@
 //
 //	ow := &owner.Owner{Store: st, Committer: cm, Lead: nd, Workers: calls, ...}
 //	go ow.Run(ctx)
-package owner
+package scheduler
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"time"
 
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
 
@@ -35,7 +35,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// roundPause is the least time between two rounds of decisions, so that
@@ -58,22 +58,22 @@
 
 // Leadership tells whether this process leads, and for sure.
 type Leadership interface {
-	weir.Authority
+	weir.Leadership
 	// Term returns the term that this process leads, 0 while it does not.
 	Term() uint64
 }
 
-// Owner decides about tasks while its process leads. Set the exported fields
+// Scheduler decides about tasks while its process leads. Set the exported fields
 // before Run.
-type Owner struct {
-	Store     *store.Store
-	Committer *Committer
-	Lead      Leadership
-	Workers   weir.TaskWorkers
+type Scheduler struct {
+	Store      *store.Store
+	Committer  *Committer
+	Leadership Leadership
+	Workers    weir.TaskWorkers
 	// Machines may be nil where no platform can be asked for maintenance.
 	Machines weir.MachinePlatform
-	// MachineRate is how many orders a second that platform takes; 0 is any.
-	MachineRate float64
+	// MachineOrderRate is how many orders a second that platform takes; 0 is any.
+	MachineOrderRate float64
 	// Adviser may be nil where no queue needs advice.
 	Adviser weir.Adviser
 	// Clock is steady and counts time in which the machine stood still; Wall
@@ -85,12 +85,12 @@
 	Lease time.Duration
 	// Retention is how long the state of an ended job can be asked for.
 	Retention time.Duration
-	// Leading is told when this process begins and ceases to lead; it may be nil.
-	Leading func(leads bool)
+	// OnLeadershipChange is told when this process begins and ceases to lead; it may be nil.
+	OnLeadershipChange func(leads bool)
 	// HolderName names this process to the machines' platform.
 	HolderName string
-	// OrderPause is how long after an election no machine is ordered about.
-	OrderPause time.Duration
+	// MachineOrderDelay is how long after an election no machine is ordered about.
+	MachineOrderDelay time.Duration
 
 	wake chan struct{}
 
@@ -144,10 +144,10 @@
 }
 
 // String is the step's name in logs.
-func (ow *Owner) String() string { return "job owner" }
+func (ow *Scheduler) String() string { return "job owner" }
 
 // Default checks the settings.
-func (ow *Owner) Default() error {
+func (ow *Scheduler) Default() error {
 	ow.wake = make(chan struct{}, 1)
 	if ow.Logger == nil {
 		ow.Logger = log.NewNopLogger()
@@ -159,7 +159,7 @@
 }
 
 // Wake asks for a round of decisions soon; it never blocks.
-func (ow *Owner) Wake() {
+func (ow *Scheduler) Wake() {
 	select {
 	case ow.wake <- struct{}{}:
 	default:
@@ -167,7 +167,7 @@
 }
 
 // Run decides whenever this process leads, until the context ends.
-func (ow *Owner) Run(ctx context.Context) error {
+func (ow *Scheduler) Run(ctx context.Context) error {
 	ticker := time.NewTicker(followerPoll)
 	defer ticker.Stop()
 	for {
@@ -175,7 +175,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if term := ow.Lead.Term(); term != 0 {
+			if term := ow.Leadership.Term(); term != 0 {
 				ow.lead(ctx, term)
 			}
 		}
@@ -183,9 +183,9 @@
 }
 
 // lead works for one term.
-func (ow *Owner) lead(ctx context.Context, term uint64) {
+func (ow *Scheduler) lead(ctx context.Context, term uint64) {
 	// An own entry that is applied shows that all earlier ones are.
-	if _, err := ow.Committer.Commit(ctx, store.Change{}); err != nil || ow.Lead.Term() != term {
+	if _, err := ow.Committer.Commit(ctx, store.Change{}); err != nil || ow.Leadership.Term() != term {
 		return
 	}
 	leadCtx, cancel := context.WithCancel(ctx)
@@ -193,20 +193,20 @@
 	re := &reign{
 		term: term, since: ow.Clock.Now(), sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{},
 		health: map[weir.InstanceID]*health{}, avoid: map[weir.TaskRef]weir.InstanceID{},
-		pace: map[weir.InstanceID]*paced{}, machines: newMachineDuty(ow.MachineRate), evicted: map[weir.RunKey]bool{}, watched: map[weir.RunKey]progress{},
+		pace: map[weir.InstanceID]*paced{}, machines: newMachineDuty(ow.MachineOrderRate), evicted: map[weir.RunKey]bool{}, watched: map[weir.RunKey]progress{},
 		slow: map[weir.TaskRef]bool{}, advice: map[weir.TaskRef]*advised{},
 	}
 	ow.setReign(re)
 	defer ow.setReign(nil)
-	if ow.Leading != nil {
-		ow.Leading(true)
-		defer ow.Leading(false)
+	if ow.OnLeadershipChange != nil {
+		ow.OnLeadershipChange(true)
+		defer ow.OnLeadershipChange(false)
 	}
 	_ = ow.Logger.Log("level", "info", "msg", "leads jobs", "term", term)
 	ticker := time.NewTicker(roundEvery)
 	defer ticker.Stop()
 	all := true
-	for ctx.Err() == nil && ow.Lead.Term() == term {
+	for ctx.Err() == nil && ow.Leadership.Term() == term {
 		begin := ow.Clock.Now()
 		ow.round(leadCtx, re, begin, all)
 		took := ow.Clock.Now().Sub(begin)
@@ -223,7 +223,7 @@
 	_ = ow.Logger.Log("level", "info", "msg", "no longer leads jobs", "term", term)
 }
 
-func (ow *Owner) setReign(re *reign) {
+func (ow *Scheduler) setReign(re *reign) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.reign = re
@@ -231,25 +231,25 @@
 
 // Ready reports whether this process leads and holds all that earlier leaders
 // have committed.
-func (ow *Owner) Ready() bool {
+func (ow *Scheduler) Ready() bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.reign != nil && ow.Lead.Leads()
+	return ow.reign != nil && ow.Leadership.Leads()
 }
 
-// Heard notes that a worker announced itself. It reports false for word that
+// RecordAnnouncement notes that a worker announced itself. It reports false for word that
 // is older than what is known.
-func (ow *Owner) Heard(ann jobapi.Announcement, now time.Time) bool {
+func (ow *Scheduler) RecordAnnouncement(ann jobapi.Announcement, now time.Time) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if ow.reign == nil {
 		return true
 	}
 	at := ow.reign.sessions[ann.ID]
-	if at == nil || at.worker.Born < ann.Born {
+	if at == nil || at.worker.Incarnation < ann.Incarnation {
 		return true
 	}
-	if at.worker.Born > ann.Born || at.sequence > ann.Sequence {
+	if at.worker.Incarnation > ann.Incarnation || at.sequence > ann.Sequence {
 		return false
 	}
 	at.announced, at.sequence = now, ann.Sequence
@@ -257,7 +257,7 @@
 }
 
 // WakeJob asks for a round that looks at the workers where a job may run.
-func (ow *Owner) WakeJob(id weir.JobID) {
+func (ow *Scheduler) WakeJob(id weir.JobID) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -269,7 +269,7 @@
 		if js == nil {
 			return
 		}
-		for _, round := range js.Rounds {
+		for _, round := range js.Occurrences {
 			for sp := range round {
 				for ix := range round[sp].Tasks {
 					if at := ow.reign.sessions[round[sp].Tasks[ix].Worker]; at != nil {
@@ -283,12 +283,12 @@
 
 // round takes all decisions that can be taken now. With all set it looks also
 // at what changes without news.
-func (ow *Owner) round(ctx context.Context, re *reign, now time.Time, all bool) {
+func (ow *Scheduler) round(ctx context.Context, re *reign, now time.Time, all bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.attend(ctx, re, now)
 	for id, at := range re.sessions {
-		if at.dirty || (all && (at.ss.Failing() || now.Sub(at.reconciled) >= reconcileEvery)) {
+		if at.dirty || (all && (at.ss.Unreachable() || now.Sub(at.reconciled) >= reconcileEvery)) {
 			at.dirty, at.reconciled = false, now
 			ow.reconcile(re, id, at, now)
 		}
@@ -309,13 +309,13 @@
 }
 
 // attend starts and ends sessions as workers come and go.
-func (ow *Owner) attend(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) attend(ctx context.Context, re *reign, now time.Time) {
 	var present map[weir.InstanceID]store.Worker
 	ow.Store.Read(func(rd store.Reader) {
-		if rd.WorkerChanges() == re.workersSeen {
+		if rd.WorkerRevision() == re.workersSeen {
 			return
 		}
-		re.workersSeen = rd.WorkerChanges()
+		re.workersSeen = rd.WorkerRevision()
 		present = make(map[weir.InstanceID]store.Worker, len(re.sessions))
 		rd.EachWorker(func(wk store.Worker) { present[wk.ID] = wk })
 	})
@@ -324,7 +324,7 @@
 	}
 	for id, at := range re.sessions {
 		wk, ok := present[id]
-		if ok && wk.Born == at.worker.Born && wk.Address == at.worker.Address {
+		if ok && wk.Incarnation == at.worker.Incarnation && wk.Address == at.worker.Address {
 			at.worker = wk
 			continue
 		}
@@ -341,15 +341,15 @@
 	}
 }
 
-func (ow *Owner) open(ctx context.Context, re *reign, wk store.Worker, now time.Time) *attended {
+func (ow *Scheduler) open(ctx context.Context, re *reign, wk store.Worker, now time.Time) *attended {
 	ssCtx, cancel := context.WithCancel(ctx)
 	at := &attended{worker: wk, cancel: cancel, announced: now}
 	at.ss = &session.Session{
-		Life:  weir.WorkerLife{ID: wk.ID, Born: wk.Born, Address: wk.Address},
-		Token: re.term, Lease: ow.Lease, Workers: ow.Workers, Leads: ow.Lead, Clock: ow.Clock, Logger: ow.Logger,
-		LapsesBy: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
+		Worker: weir.WorkerIncarnation{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
+		Token:  re.term, Lease: ow.Lease, Workers: ow.Workers, Leadership: ow.Leadership, Clock: ow.Clock, Logger: ow.Logger,
+		PriorLeaseExpiry: re.since.Add(leadSlack + ow.Lease + ow.Lease/20),
 	}
-	at.ss.Changed = func() { ow.changed(at) }
+	at.ss.OnChange = func() { ow.changed(at) }
 	if err := at.ss.Default(); err != nil {
 		_ = ow.Logger.Log("level", "error", "msg", "session not opened", "worker", wk.ID, "err", err)
 	}
@@ -357,7 +357,7 @@
 	return at
 }
 
-func (ow *Owner) changed(at *attended) {
+func (ow *Scheduler) changed(at *attended) {
 	ow.mu.Lock()
 	at.dirty = true
 	ow.mu.Unlock()
@@ -365,20 +365,20 @@
 }
 
 // reconcile records what became of the runs at one worker.
-func (ow *Owner) reconcile(re *reign, id weir.InstanceID, at *attended, now time.Time) {
-	if at.ss.Lapsed(now) {
+func (ow *Scheduler) reconcile(re *reign, id weir.InstanceID, at *attended, now time.Time) {
+	if at.ss.LeaseExpired(now) {
 		ow.dropWorker(re, at, now)
 		return
 	}
-	var placed []session.Placed
+	var placed []session.PlacedRun
 	ow.Store.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			if re.starting[key] {
 				continue // committed, but not ordered yet
 			}
 			js := rd.Job(key.Task.Job)
-			wanted := !js.Phase.Over() && !js.Task(key.Task).Done && !re.evicted[key] && js.Whole(key)
-			placed = append(placed, session.Placed{Key: key, Wanted: wanted})
+			wanted := !js.Phase.Terminal() && !js.Task(key.Task).Done && !re.evicted[key] && js.GangComplete(key)
+			placed = append(placed, session.PlacedRun{Key: key, Wanted: wanted})
 		}
 	})
 	out := at.ss.Reconcile(now, placed)
@@ -394,10 +394,10 @@
 const forgetBatch = 64
 
 // forget drops jobs whose state need no longer be told.
-func (ow *Owner) forget() {
+func (ow *Scheduler) forget() {
 	var ids []weir.JobID
-	ow.Store.Read(func(rd store.Reader) { ids = rd.Expired(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
+	ow.Store.Read(func(rd store.Reader) { ids = rd.JobsEndedBefore(ow.Wall.Now().Add(-ow.Retention), forgetBatch) })
 	if len(ids) > 0 {
-		ow.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Answer, error) {})
+		ow.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Result, error) {})
 	}
 }
--- a/internal/job/owner/pace.go
+++ b/internal/job/scheduler/pace.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"time"
@@ -44,7 +44,7 @@
 
 // paceAll keeps serving tasks under their target by slowing the filling tasks
 // beside them.
-func (ow *Owner) paceAll(re *reign) {
+func (ow *Scheduler) paceAll(re *reign) {
 	ow.Store.Read(func(rd store.Reader) {
 		for id, at := range re.sessions {
 			ow.paceWorker(re, rd, id, at)
@@ -52,8 +52,8 @@
 	})
 }
 
-func (ow *Owner) paceWorker(re *reign, rd store.Reader, id weir.InstanceID, at *attended) {
-	if rd.Load(id).Filling == 0 {
+func (ow *Scheduler) paceWorker(re *reign, rd store.Reader, id weir.InstanceID, at *attended) {
+	if rd.Load(id).BestEffort == 0 {
 		delete(re.pace, id)
 		return
 	}
@@ -67,10 +67,10 @@
 		}
 		step := js.Spec.Steps[rt.Task.Step]
 		switch {
-		case step.Filling:
+		case step.BestEffort:
 			filling = append(filling, rt.RunKey)
-		case step.Lasting && step.Target > 0:
-			worst = max(worst, rt.Rough/float64(step.Target.Milliseconds()))
+		case step.LongRunning && step.TargetLatency > 0:
+			worst = max(worst, rt.Rough/float64(step.TargetLatency.Milliseconds()))
 		}
 	}
 	pc := re.pace[id]
@@ -94,7 +94,7 @@
 	for _, key := range filling {
 		sent, ok := pc.sent[key]
 		if (!ok && pc.percent != paceFull) || (ok && sent != pc.percent) {
-			at.ss.Pace(key, pc.percent)
+			at.ss.Throttle(key, pc.percent)
 		}
 		pc.sent[key] = pc.percent
 	}
--- a/internal/job/owner/place.go
+++ b/internal/job/scheduler/place.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"greengageweir/internal/config/catalog"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
-	"greengageweir/internal/schedule/plan"
+	"greengageweir/internal/schedule/placement"
 
 	"github.com/VictoriaMetrics/metrics"
 
@@ -18,11 +18,11 @@
 
 // place commits and orders the starts that the plan asks for. Only one plan is
 // under way at a time, since the next must know of its starts.
-func (ow *Owner) place(ctx context.Context, re *reign, now time.Time) {
+func (ow *Scheduler) place(ctx context.Context, re *reign, now time.Time) {
 	if re.planning {
 		return
 	}
-	var starts []plan.Placement
+	var starts []placement.Placement
 	ow.Store.Read(func(rd store.Reader) {
 		demand := ow.demand(rd)
 		if len(demand) == 0 {
@@ -30,20 +30,20 @@
 		}
 		workers := ow.usable(re, rd, now, demand)
 		groups := ow.ready(ctx, re, rd, demand, roomOf(workers))
-		starts = plan.Place(ow.Wall.Now(), groups, workers)
+		starts = placement.Place(ow.Wall.Now(), groups, workers)
 	})
 	if len(starts) == 0 {
 		return
 	}
 	changes := make([]store.Change, len(starts))
 	for ix, pl := range starts {
-		changes[ix] = store.Change{Start: &store.Start{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Born: pl.Born}}
+		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Incarnation: pl.Born}}
 	}
 	re.planning = true
 	for _, pl := range starts {
 		re.starting[weir.RunKey{Task: pl.Task, Run: pl.Run}] = true
 	}
-	if !ow.Committer.Submit(changes, func(answers []store.Answer, err error) { ow.started(re, starts, answers, err) }) {
+	if !ow.Committer.Submit(changes, func(answers []store.Result, err error) { ow.started(re, starts, answers, err) }) {
 		re.planned()
 	}
 }
@@ -56,7 +56,7 @@
 
 // started orders the runs whose intents are committed. It runs on the
 // committer's goroutine.
-func (ow *Owner) started(re *reign, starts []plan.Placement, answers []store.Answer, err error) {
+func (ow *Scheduler) started(re *reign, starts []placement.Placement, answers []store.Result, err error) {
 	defer ow.Wake()
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -68,7 +68,7 @@
 	placed := map[weir.TaskRef][]weir.InstanceID{}
 	ow.Store.Read(func(rd store.Reader) {
 		for ix, pl := range starts {
-			if !answers[ix].Taken {
+			if !answers[ix].Applied {
 				_ = ow.Logger.Log("level", "info", "msg", "start not taken", "job", pl.Task.Job, "task", pl.Task,
 					"run", pl.Run, "worker", pl.Worker, "reason", answers[ix].Reason)
 				continue
@@ -92,14 +92,14 @@
 	return out
 }
 
-func (ow *Owner) order(re *reign, rd store.Reader, pl plan.Placement) {
+func (ow *Scheduler) order(re *reign, rd store.Reader, pl placement.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
-	if at == nil || at.worker.Born != pl.Born || js == nil || js.Phase.Over() {
+	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Terminal() {
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
-	if js.Task(pl.Task) == nil || !js.Whole(key) {
+	if js.Task(pl.Task) == nil || !js.GangComplete(key) {
 		return
 	}
 	order := weir.RunOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
@@ -119,10 +119,10 @@
 }
 
 // demand lists the jobs that may have tasks to place.
-func (ow *Owner) demand(rd store.Reader) []demanded {
+func (ow *Scheduler) demand(rd store.Reader) []demanded {
 	var out []demanded
-	rd.EachActive(func(js *store.JobState) {
-		if js.Phase.Over() || !js.Unplaced() {
+	rd.EachActiveJob(func(js *store.JobState) {
+		if js.Phase.Terminal() || !js.MayNeedPlacement() {
 			return
 		}
 		if qu, ok := rd.Queue(js.Spec.Queue); ok {
@@ -134,11 +134,11 @@
 
 // roomOf returns, for each pool, the most that any of its workers has free of
 // each kind of room. What does not fit there need not be looked at further.
-func roomOf(workers []plan.Worker) map[weir.PoolName]spec.Need {
-	room := map[weir.PoolName]spec.Need{}
+func roomOf(workers []placement.Worker) map[weir.PoolName]spec.Resources {
+	room := map[weir.PoolName]spec.Resources{}
 	for _, wk := range workers {
 		most := room[wk.Pool]
-		room[wk.Pool] = spec.Need{
+		room[wk.Pool] = spec.Resources{
 			MilliCPU: max(most.MilliCPU, wk.Free.MilliCPU), MemoryMB: max(most.MemoryMB, wk.Free.MemoryMB), GPU: max(most.GPU, wk.Free.GPU),
 		}
 	}
@@ -146,17 +146,17 @@
 }
 
 // ready lists the steps with tasks that may start now.
-func (ow *Owner) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Need) []plan.Group {
-	var groups []plan.Group
+func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Resources) []placement.Group {
+	var groups []placement.Group
 	wall := ow.Wall.Now()
 	for _, dm := range demand {
 		js, qu := dm.job, dm.queue
-		for oc := range js.Rounds {
+		for oc := range js.Occurrences {
 			if due := js.Spec.DueAt(oc); due.After(wall) {
 				break
 			}
-			for sp := range js.Rounds[oc] {
-				if !js.Spec.Steps[sp].Counted().Fits(room[qu.Pool]) {
+			for sp := range js.Occurrences[oc] {
+				if !js.Spec.Steps[sp].Reserved().Fits(room[qu.Pool]) {
 					continue
 				}
 				gr, ok := ow.group(re, js, qu, oc, sp)
@@ -180,21 +180,21 @@
 // caller's estimates.
 func workLeft(js *store.JobState, oc int) float64 {
 	work := 0.0
-	for sp, ss := range js.Rounds[oc] {
+	for sp, ss := range js.Occurrences[oc] {
 		step := js.Spec.Steps[sp]
-		work += float64(ss.Left*step.Need.MilliCPU) / 1000 * step.Estimate.Seconds()
+		work += float64(ss.TasksLeft*step.Resources.MilliCPU) / 1000 * step.Estimate.Seconds()
 	}
 	return work
 }
 
-func (ow *Owner) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (plan.Group, bool) {
-	ss := &js.Rounds[oc][sp]
-	if ss.Left == 0 || !js.StepReady(oc, sp) {
-		return plan.Group{}, false
+func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (placement.Group, bool) {
+	ss := &js.Occurrences[oc][sp]
+	if ss.TasksLeft == 0 || !js.StepReady(oc, sp) {
+		return placement.Group{}, false
 	}
 	step := js.Spec.Steps[sp]
-	ref := spec.Ref{Job: js.Spec.ID, Occurrence: oc, Step: sp}
-	gr := plan.Group{
+	ref := spec.TaskRef{Job: js.Spec.ID, Occurrence: oc, Step: sp}
+	gr := placement.Group{
 		Step: ref, Spec: step, Pool: qu.Pool, Priority: qu.Priority,
 		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), On: map[weir.InstanceID]int{},
 	}
@@ -212,12 +212,12 @@
 			if tk.EndedAt.After(since) {
 				since = tk.EndedAt
 			}
-			gr.Tasks = append(gr.Tasks, plan.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, Avoid: re.avoid[ref], Since: since})
+			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, Avoid: re.avoid[ref], Since: since})
 		}
 	}
 	if step.Gang {
 		if len(gr.Tasks) < len(ss.Tasks) {
-			return plan.Group{}, false
+			return placement.Group{}, false
 		}
 		for ix := range gr.Tasks {
 			gr.Tasks[ix].Run = highest + 1
@@ -243,35 +243,35 @@
 			rest[before] = max(rest[before], rest[ix])
 		}
 	}
-	objective := due.Add(qu.Target + time.Duration(qu.Stretch*float64(longest)))
+	objective := due.Add(qu.TargetLatency + time.Duration(qu.Stretch*float64(longest)))
 	return objective.Add(-rest[sp])
 }
 
 // workerView is a worker as the plan sees it.
-type workerView = plan.Worker
+type workerView = placement.Worker
 
 // usable lists the workers that can take tasks of some jobs now.
-func (ow *Owner) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []plan.Worker {
+func (ow *Scheduler) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []placement.Worker {
 	pools := map[weir.PoolName]bool{}
 	for _, dm := range demand {
 		pools[dm.queue.Pool] = true
 	}
-	workers := make([]plan.Worker, 0, len(re.sessions))
+	workers := make([]placement.Worker, 0, len(re.sessions))
 	for id, at := range re.sessions {
 		if !pools[at.worker.Pool] {
 			continue
 		}
 		wk, ok := rd.Worker(id)
-		if !ok || wk.Draining || wk.Born != at.worker.Born || !at.ss.Usable() || re.machines.closed(rd, wk.Machine) {
+		if !ok || wk.Draining || wk.Incarnation != at.worker.Incarnation || !at.ss.Usable() || re.machines.closed(rd, wk.Machine) {
 			continue
 		}
 		hl := re.health[id]
 		if hl.resting(now) {
 			continue
 		}
-		pw := plan.Worker{ID: id, Born: wk.Born, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Room, Suspect: hl.suspect(now)}
+		pw := placement.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
-		pw.Free, pw.Serving, pw.Filling = wk.Room.Minus(load.Used), load.Serving, load.Filling
+		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
 	}
 	return workers
--- a/internal/job/owner/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -1,4 +1,4 @@
-package owner
+package scheduler
 
 import (
 	"context"
@@ -29,15 +29,15 @@
 	stops []weir.RunKey
 }
 
-func (wk *idle) Renew(context.Context, weir.WorkerLife, weir.RenewOrder) (weir.WorkerReport, error) {
+func (wk *idle) Renew(context.Context, weir.WorkerIncarnation, weir.RenewOrder) (weir.WorkerReport, error) {
 	return weir.WorkerReport{Clock: time.Hour, Born: 1, Running: wk.running}, nil
 }
 
-func (wk *idle) Stop(_ context.Context, _ weir.WorkerLife, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (wk *idle) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	wk.stops = append(wk.stops, key)
-	return weir.OrderAnswer{}, nil
+	return weir.OrderResponse{}, nil
 }
 
 func (wk *idle) stopped() []weir.RunKey {
@@ -48,13 +48,13 @@
 
 // idleWorker returns an owner with a session to an idle worker w0 that has
 // reported, and the session's place in the reign.
-func idleWorker(t *testing.T, st *store.Store, running ...weir.RunningTask) (*Owner, *reign, *attended, *idle) {
+func idleWorker(t *testing.T, st *store.Store, running ...weir.RunningTask) (*Scheduler, *reign, *attended, *idle) {
 	wk := &idle{running: running}
-	ow := &Owner{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
+	ow := &Scheduler{Store: st, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1)}
 	re := &reign{sessions: map[weir.InstanceID]*attended{}, starting: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
-	at := &attended{worker: store.Worker{ID: "w0", Born: 1}}
+	at := &attended{worker: store.Worker{ID: "w0", Incarnation: 1}}
 	at.ss = &session.Session{
-		Life: weir.WorkerLife{ID: "w0", Born: 1}, Lease: time.Minute, Leads: leads{}, Clock: clock.Steady{}, Changed: func() {}, Workers: wk,
+		Worker: weir.WorkerIncarnation{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: leads{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
 	require.NoError(t, at.ss.Default())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -75,20 +75,20 @@
 	all := []store.Change{}
 	for ix := range 2 {
 		id := fmt.Sprint("w", ix)
-		all = append(all, store.Change{Join: &store.Worker{ID: weir.InstanceID(id), Born: 1, Address: id, Machine: "m" + id}})
+		all = append(all, store.Change{Join: &store.Worker{ID: weir.InstanceID(id), Incarnation: 1, Address: id, Machine: "m" + id}})
 	}
 	data, err := store.Entry{At: testNow, Changes: append(all, changes...)}.Encode()
 	require.NoError(t, err)
-	answers, ok := st.Apply(1, data).([]store.Answer)
+	answers, ok := st.Apply(1, data).([]store.Result)
 	require.True(t, ok)
 	for _, ans := range answers {
-		require.True(t, ans.Taken, ans.Reason)
+		require.True(t, ans.Applied, ans.Reason)
 	}
 	return st
 }
 
 func startAt(index int, worker weir.InstanceID) store.Change {
-	return store.Change{Start: &store.Start{Task: spec.Ref{Job: "a", Index: index}, Run: 1, Worker: worker, Born: 1}}
+	return store.Change{Start: &store.RunStart{Task: spec.TaskRef{Job: "a", Index: index}, Run: 1, Worker: worker, Incarnation: 1}}
 }
 
 // TestStartThatIsBeingOrderedIsNotStopped looks at the worker between the
@@ -96,12 +96,12 @@
 func TestStartThatIsBeingOrderedIsNotStopped(t *testing.T) {
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, startAt(0, "w0"))
 	ow, re, at, wk := idleWorker(t, st)
-	key := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}
+	key := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}
 	re.starting[key] = true
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	re.planned()
 	require.Never(t, func() bool { return len(wk.stopped()) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	require.Eventually(t, func() bool { return len(wk.stopped()) > 0 }, 10*time.Second, time.Millisecond,
 		"a run that nobody ordered in this reign is stopped by its number")
 }
@@ -110,16 +110,16 @@
 // members would otherwise wait for the missing one until they give up.
 func TestGangIsStoppedOnceAMemberIsMissing(t *testing.T) {
 	gang := store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 2, Gang: true}}}}
-	first, second := weir.RunKey{Task: spec.Ref{Job: "a"}, Run: 1}, weir.RunKey{Task: spec.Ref{Job: "a", Index: 1}, Run: 1}
+	first, second := weir.RunKey{Task: spec.TaskRef{Job: "a"}, Run: 1}, weir.RunKey{Task: spec.TaskRef{Job: "a", Index: 1}, Run: 1}
 	st := storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"))
 	st.Read(func(rd store.Reader) {
-		require.True(t, rd.Job("a").Whole(first))
-		require.True(t, rd.Job("a").Whole(second))
+		require.True(t, rd.Job("a").GangComplete(first))
+		require.True(t, rd.Job("a").GangComplete(second))
 	})
 	st = storeWith(t, gang, startAt(0, "w0"), startAt(1, "w1"),
-		store.Change{End: &store.End{Task: second.Task, Run: 1, How: store.EndRefused}})
+		store.Change{End: &store.RunEnd{Task: second.Task, Run: 1, Reason: store.EndRefused}})
 	ow, re, at, wk := idleWorker(t, st, weir.RunningTask{RunKey: first})
-	ow.reconcile(re, "w0", at, clock.Steady{}.Now())
+	ow.reconcile(re, "w0", at, clock.BootTime{}.Now())
 	require.Eventually(t, func() bool { return len(wk.stopped()) > 0 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, first, wk.stopped()[0])
 }
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 
@@ -25,7 +25,7 @@
 const KindInvalid Kind = "job is not valid"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // The bounds of one job. They keep a job within one entry of the log.
 const (
@@ -34,18 +34,18 @@
 	// MaxSteps and MaxTasks bound the book-keeping of one job.
 	MaxSteps = 256
 	MaxTasks = 10_000
-	// MaxTimes bounds the occurrences of one job.
-	MaxTimes = 10_000
+	// MaxOccurrences bounds the occurrences of one job.
+	MaxOccurrences = 10_000
 )
 
-// ID is the caller's name of a job.
-type ID = weir.JobID
+// JobID is the caller's name of a job.
+type JobID = weir.JobID
 
-// Ref names one task of a job.
-type Ref = weir.TaskRef
+// TaskRef names one task of a job.
+type TaskRef = weir.TaskRef
 
-// Need is what one task needs of a worker.
-type Need struct {
+// Resources is what one task needs of a worker.
+type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int `json:"cpu,omitempty"`
 	MemoryMB int `json:"mem,omitempty"`
@@ -53,24 +53,24 @@
 }
 
 // Plus returns the sum of two needs.
-func (nd Need) Plus(other Need) Need {
-	return Need{MilliCPU: nd.MilliCPU + other.MilliCPU, MemoryMB: nd.MemoryMB + other.MemoryMB, GPU: nd.GPU + other.GPU}
+func (nd Resources) Plus(other Resources) Resources {
+	return Resources{MilliCPU: nd.MilliCPU + other.MilliCPU, MemoryMB: nd.MemoryMB + other.MemoryMB, GPU: nd.GPU + other.GPU}
 }
 
 // Minus returns the difference of two needs.
-func (nd Need) Minus(other Need) Need {
-	return Need{MilliCPU: nd.MilliCPU - other.MilliCPU, MemoryMB: nd.MemoryMB - other.MemoryMB, GPU: nd.GPU - other.GPU}
+func (nd Resources) Minus(other Resources) Resources {
+	return Resources{MilliCPU: nd.MilliCPU - other.MilliCPU, MemoryMB: nd.MemoryMB - other.MemoryMB, GPU: nd.GPU - other.GPU}
 }
 
 // Fits reports whether the need is within the room.
-func (nd Need) Fits(room Need) bool {
+func (nd Resources) Fits(room Resources) bool {
 	return nd.MilliCPU <= room.MilliCPU && nd.MemoryMB <= room.MemoryMB && nd.GPU <= room.GPU
 }
 
 // Step is a set of alike tasks.
 type Step struct {
-	Count int  `json:"count"`
-	Need  Need `json:"need"`
+	Count     int       `json:"count"`
+	Resources Resources `json:"need"`
 	// Estimate is the caller's rough figure for one task's duration.
 	Estimate time.Duration `json:"estimate,omitempty"`
 	// After lists earlier steps that must be done first.
@@ -87,36 +87,36 @@
 	DataRack string `json:"dataRack,omitempty"`
 	// MaxPerWorker bounds the step's tasks on one worker; 0 is no bound.
 	MaxPerWorker int `json:"maxPerWorker,omitempty"`
-	// Copies allows a task to run more than once at a time.
-	Copies bool `json:"copies,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
+	// Speculative allows a task to run more than once at a time.
+	Speculative bool `json:"copies,omitempty"`
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool `json:"lasting,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
-	// Target is the response time that a lasting task's users want.
-	Target time.Duration `json:"target,omitempty"`
-	// Filling tasks use the processor that others leave; their MilliCPU does
+	// TargetLatency is the response time that a lasting task's users want.
+	TargetLatency time.Duration `json:"target,omitempty"`
+	// BestEffort tasks use the processor that others leave; their MilliCPU does
 	// not count against a worker.
-	Filling bool `json:"filling,omitempty"`
-	// MaxAway bounds the lasting tasks that planned work may make unavailable
+	BestEffort bool `json:"filling,omitempty"`
+	// MaxUnavailable bounds the lasting tasks that planned work may make unavailable
 	// at a time; 0 is no bound.
-	MaxAway int `json:"maxAway,omitempty"`
+	MaxUnavailable int `json:"maxAway,omitempty"`
 }
 
-// Counted is the need that counts against a worker's room.
-func (st Step) Counted() Need {
-	if st.Filling {
-		return Need{MemoryMB: st.Need.MemoryMB, GPU: st.Need.GPU}
+// Reserved is the need that counts against a worker's room.
+func (st Step) Reserved() Resources {
+	if st.BestEffort {
+		return Resources{MemoryMB: st.Resources.MemoryMB, GPU: st.Resources.GPU}
 	}
-	return st.Need
+	return st.Resources
 }
 
-// Spread is the number of workers that the step's tasks should be on, so that
+// MinWorkers is the number of workers that the step's tasks should be on, so that
 // each worker may go without more tasks away than allowed; 0 is no wish.
-func (st Step) Spread() int {
+func (st Step) MinWorkers() int {
 	most := st.MaxPerWorker
-	if st.MaxAway > 0 && (most == 0 || st.MaxAway < most) {
-		most = st.MaxAway
+	if st.MaxUnavailable > 0 && (most == 0 || st.MaxUnavailable < most) {
+		most = st.MaxUnavailable
 	}
 	if most == 0 {
 		return 0
@@ -126,34 +126,34 @@
 
 // Job is what a caller submitted.
 type Job struct {
-	ID ID `json:"id"`
+	ID JobID `json:"id"`
 	// Queue is the key of the queue it was submitted to.
 	Queue string `json:"queue"`
 	// Text is handed to each task as it is.
 	Text  string `json:"text"`
 	Steps []Step `json:"steps"`
-	// Times is how often the steps run; 0 means once, at once.
-	Times int `json:"times,omitempty"`
+	// OccurrenceCount is how often the steps run; 0 means once, at once.
+	OccurrenceCount int `json:"times,omitempty"`
 	// StartAt is the due time of occurrence 0; Every separates them.
 	StartAt time.Time     `json:"startAt,omitzero"`
 	Every   time.Duration `json:"every,omitempty"`
 }
 
 // Occurrences returns how often the steps run, at least 1.
-func (jb Job) Occurrences() int { return max(jb.Times, 1) }
+func (jb Job) Occurrences() int { return max(jb.OccurrenceCount, 1) }
 
 // DueAt returns when an occurrence is due; the zero time is at once.
 func (jb Job) DueAt(occurrence int) time.Time {
-	if jb.Times == 0 {
+	if jb.OccurrenceCount == 0 {
 		return time.Time{}
 	}
 	return jb.StartAt.Add(time.Duration(occurrence) * jb.Every)
 }
 
-// Lasting reports whether the job runs until it is cancelled.
-func (jb Job) Lasting() bool {
+// LongRunning reports whether the job runs until it is cancelled.
+func (jb Job) LongRunning() bool {
 	for _, st := range jb.Steps {
-		if st.Lasting {
+		if st.LongRunning {
 			return true
 		}
 	}
@@ -177,8 +177,8 @@
 	if len(jb.Steps) == 0 || len(jb.Steps) > MaxSteps {
 		return invalid("%d steps, want 1 to %d", len(jb.Steps), MaxSteps)
 	}
-	if jb.Times < 0 || jb.Times > MaxTimes || jb.Every < 0 {
-		return invalid("%d occurrences each %s", jb.Times, jb.Every)
+	if jb.OccurrenceCount < 0 || jb.OccurrenceCount > MaxOccurrences || jb.Every < 0 {
+		return invalid("%d occurrences each %s", jb.OccurrenceCount, jb.Every)
 	}
 	for ix, st := range jb.Steps {
 		if err := st.check(ix); err != nil {
@@ -195,9 +195,9 @@
 	switch {
 	case st.Count < 1:
 		return invalid("step %d has %d tasks", ix, st.Count)
-	case st.Need.MilliCPU < 0 || st.Need.MemoryMB < 0 || st.Need.GPU < 0:
+	case st.Resources.MilliCPU < 0 || st.Resources.MemoryMB < 0 || st.Resources.GPU < 0:
 		return invalid("step %d has a negative need", ix)
-	case st.MaxPerWorker < 0 || st.MaxAway < 0:
+	case st.MaxPerWorker < 0 || st.MaxUnavailable < 0:
 		return invalid("step %d has a negative limit", ix)
 	}
 	for _, before := range st.After {
--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -21,12 +21,12 @@
 type Change struct {
 	Catalog *catalog.Packed   `json:"cat,omitempty"`
 	Submit  *spec.Job         `json:"sub,omitempty"`
-	Cancel  *spec.ID          `json:"can,omitempty"`
+	Cancel  *spec.JobID       `json:"can,omitempty"`
 	Join    *Worker           `json:"join,omitempty"`
-	Leave   *Leave            `json:"leave,omitempty"`
-	Start   *Start            `json:"st,omitempty"`
-	End     *End              `json:"end,omitempty"`
-	Forget  []spec.ID         `json:"forget,omitempty"`
+	Leave   *WorkerLeave      `json:"leave,omitempty"`
+	Start   *RunStart         `json:"st,omitempty"`
+	End     *RunEnd           `json:"end,omitempty"`
+	Forget  []spec.JobID      `json:"forget,omitempty"`
 	Wave    *Wave             `json:"wave,omitempty"`
 	Machine *MachineOperation `json:"mach,omitempty"`
 }
@@ -34,16 +34,16 @@
 // Worker is one life of an instance that runs tasks.
 type Worker struct {
 	ID weir.InstanceID `json:"id"`
-	// Born tells the lives of one id apart: the time of the life's start in
+	// Incarnation tells the lives of one id apart: the time of the life's start in
 	// milliseconds since 1970.
-	Born    int64         `json:"born"`
-	Machine string        `json:"machine,omitempty"`
-	Pool    weir.PoolName `json:"pool"`
-	Address string        `json:"addr"`
-	Zone    weir.Zone     `json:"zone"`
-	Kind    string        `json:"kind,omitempty"`
-	Rack    string        `json:"rack,omitempty"`
-	Room    spec.Need     `json:"room"`
+	Incarnation int64          `json:"born"`
+	Machine     string         `json:"machine,omitempty"`
+	Pool        weir.PoolName  `json:"pool"`
+	Address     string         `json:"addr"`
+	Zone        weir.Zone      `json:"zone"`
+	Kind        string         `json:"kind,omitempty"`
+	Rack        string         `json:"rack,omitempty"`
+	Capacity    spec.Resources `json:"room"`
 	// Draining workers get no new tasks.
 	Draining bool `json:"draining,omitempty"`
 	// Sequence rises with each announcement of a life, so that word that was
@@ -51,53 +51,53 @@
 	Sequence int64 `json:"seq,omitempty"`
 }
 
-// Same reports whether two announcements say the same of a worker.
-func (wk Worker) Same(other Worker) bool {
+// EqualIgnoringSequence reports whether two announcements say the same of a worker.
+func (wk Worker) EqualIgnoringSequence(other Worker) bool {
 	wk.Sequence = other.Sequence
 	return wk == other
 }
 
-// Leave ends one life of a worker: nothing runs there any more.
-type Leave struct {
-	ID     weir.InstanceID `json:"id"`
-	Born   int64           `json:"born"`
-	Reason string          `json:"why"`
+// WorkerLeave ends one life of a worker: nothing runs there any more.
+type WorkerLeave struct {
+	ID          weir.InstanceID `json:"id"`
+	Incarnation int64           `json:"born"`
+	Reason      string          `json:"why"`
 }
 
-// Start is the intent to start a run. It is committed before the order is
+// RunStart is the intent to start a run. It is committed before the order is
 // sent, so that every later leader knows where a run may be.
-type Start struct {
-	Task   spec.Ref        `json:"t"`
-	Run    int             `json:"r"`
-	Worker weir.InstanceID `json:"w"`
-	Born   int64           `json:"b"`
+type RunStart struct {
+	Task        spec.TaskRef    `json:"t"`
+	Run         int             `json:"r"`
+	Worker      weir.InstanceID `json:"w"`
+	Incarnation int64           `json:"b"`
 }
 
-// How tells how a run ended.
-type How string
+// EndReason tells how a run ended.
+type EndReason string
 
 // The ways a run ends.
 const (
-	EndDone   How = "done"
-	EndFailed How = "failed"
+	EndDone   EndReason = "done"
+	EndFailed EndReason = "failed"
 	// EndStopped, EndLapsed, EndBroken and EndAlone are a worker's words for
 	// runs that ended through no fault of the task.
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed"
-	EndBroken  How = "broken"
-	EndAlone   How = "alone"
+	EndStopped      EndReason = "stopped"
+	EndLeaseExpired EndReason = "lapsed"
+	EndBroken       EndReason = "broken"
+	EndAlone        EndReason = "alone"
 	// EndLost says that the run is surely over and has left no end.
-	EndLost How = "lost"
+	EndLost EndReason = "lost"
 	// EndRefused says that the worker refused to start it.
-	EndRefused How = "refused"
+	EndRefused EndReason = "refused"
 )
 
-// End is the end of one run.
-type End struct {
-	Task       spec.Ref `json:"t"`
-	Run        int      `json:"r"`
-	How        How      `json:"h"`
-	Checkpoint string   `json:"cp,omitempty"`
+// RunEnd is the end of one run.
+type RunEnd struct {
+	Task       spec.TaskRef `json:"t"`
+	Run        int          `json:"r"`
+	Reason     EndReason    `json:"h"`
+	Checkpoint string       `json:"cp,omitempty"`
 }
 
 // Wave asks for the maintenance of machines.
@@ -105,16 +105,16 @@
 	Number   int64     `json:"number"`
 	Machines []string  `json:"machines"`
 	Deadline time.Time `json:"deadline"`
-	// AtOnce bounds the machines that are away at a time.
-	AtOnce int `json:"atOnce"`
-	// Begun holds the machines whose maintenance has begun.
-	Begun map[string]bool `json:"begun,omitempty"`
+	// MaxParallel bounds the machines that are away at a time.
+	MaxParallel int `json:"atOnce"`
+	// Started holds the machines whose maintenance has begun.
+	Started map[string]bool `json:"begun,omitempty"`
 }
 
-// Done reports whether each machine's maintenance has begun.
-func (wv Wave) Done() bool {
+// AllStarted reports whether each machine's maintenance has begun.
+func (wv Wave) AllStarted() bool {
 	for _, mc := range wv.Machines {
-		if !wv.Begun[mc] {
+		if !wv.Started[mc] {
 			return false
 		}
 	}
@@ -129,9 +129,9 @@
 	Wave int64         `json:"wave,omitempty"`
 	Pool weir.PoolName `json:"pool,omitempty"`
 	// Worker and Born name the life that the operation ends.
-	Worker weir.InstanceID `json:"worker,omitempty"`
-	Born   int64           `json:"born,omitempty"`
-	Begun  bool            `json:"begun,omitempty"`
-	// Void says that the platform certainly did not and will not do it.
-	Void bool `json:"void,omitempty"`
+	Worker      weir.InstanceID `json:"worker,omitempty"`
+	Incarnation int64           `json:"born,omitempty"`
+	Started     bool            `json:"begun,omitempty"`
+	// NotExecuted says that the platform certainly did not and will not do it.
+	NotExecuted bool `json:"void,omitempty"`
 }
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -23,11 +23,11 @@
 
 // Job returns a job, nil where it is not known. It must not be changed, nor
 // kept beyond the read.
-func (rd Reader) Job(id spec.ID) *JobState { return rd.st.Jobs[id] }
+func (rd Reader) Job(id spec.JobID) *JobState { return rd.st.Jobs[id] }
 
-// EachActive calls a function for each job that has tasks to run or runs that
+// EachActiveJob calls a function for each job that has tasks to run or runs that
 // may be at workers.
-func (rd Reader) EachActive(do func(js *JobState)) {
+func (rd Reader) EachActiveJob(do func(js *JobState)) {
 	for id := range rd.st.Active {
 		do(rd.st.Jobs[id])
 	}
@@ -53,20 +53,20 @@
 }
 
 // Runs returns the runs that may be at a worker, with what they count.
-func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Need { return rd.st.Runs[id] }
+func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
 
 // Load sums up the runs that may be at a worker.
 func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
 
-// WorkerChanges changes whenever a worker does; it compares only within one
+// WorkerRevision changes whenever a worker does; it compares only within one
 // life of this process.
-func (rd Reader) WorkerChanges() uint64 { return rd.st.WorkerChanges }
+func (rd Reader) WorkerRevision() uint64 { return rd.st.WorkerChanges }
 
 // Waves returns the maintenance waves; they must not be changed.
 func (rd Reader) Waves() map[int64]*Wave { return rd.st.Waves }
 
-// Order returns the operation under way on a machine.
-func (rd Reader) Order(machine string) (MachineOperation, bool) {
+// MachineOperation returns the operation under way on a machine.
+func (rd Reader) MachineOperation(machine string) (MachineOperation, bool) {
 	op, ok := rd.st.Orders[machine]
 	if !ok {
 		return MachineOperation{}, false
@@ -74,11 +74,11 @@
 	return *op, true
 }
 
-// Expired returns jobs that ended before a time, at most limit of them.
-func (rd Reader) Expired(before time.Time, limit int) []spec.ID {
-	var ids []spec.ID
+// JobsEndedBefore returns jobs that ended before a time, at most limit of them.
+func (rd Reader) JobsEndedBefore(before time.Time, limit int) []spec.JobID {
+	var ids []spec.JobID
 	for id, js := range rd.st.Jobs {
-		if js.Phase.Over() && js.Placed == 0 && js.Ended.Before(before) {
+		if js.Phase.Terminal() && js.Placed == 0 && js.Ended.Before(before) {
 			ids = append(ids, id)
 			if len(ids) == limit {
 				break
@@ -88,16 +88,16 @@
 	return ids
 }
 
-// EachOrder calls a function for each operation under way on a machine.
-func (rd Reader) EachOrder(do func(op MachineOperation)) {
+// EachMachineOperation calls a function for each operation under way on a machine.
+func (rd Reader) EachMachineOperation(do func(op MachineOperation)) {
 	for _, op := range rd.st.Orders {
 		do(*op)
 	}
 }
 
-// OrderedAt returns when this member learned last of an order for a machine.
+// MachineOperationSeenAt returns when this member learned last of an order for a machine.
 // An order in a snapshot counts from when that was taken over.
-func (rd Reader) OrderedAt(machine string) time.Time {
+func (rd Reader) MachineOperationSeenAt(machine string) time.Time {
 	at := rd.sr.orderedAt[machine]
 	if at.Before(rd.sr.restoredAt) {
 		return rd.sr.restoredAt
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -21,17 +21,17 @@
 	Cancelled Phase = "cancelled"
 )
 
-// Over reports whether the job has ended.
-func (ph Phase) Over() bool { return ph == Done || ph == Failed || ph == Cancelled }
+// Terminal reports whether the job has ended.
+func (ph Phase) Terminal() bool { return ph == Done || ph == Failed || ph == Cancelled }
 
 // Task is what is known of one task.
 type Task struct {
 	// Run is the number of the latest run, 0 before the first.
 	Run int `json:"r,omitempty"`
 	// Worker and Born name where the run is, while it is not over.
-	Worker weir.InstanceID `json:"w,omitempty"`
-	Born   int64           `json:"b,omitempty"`
-	Done   bool            `json:"d,omitempty"`
+	Worker      weir.InstanceID `json:"w,omitempty"`
+	Incarnation int64           `json:"b,omitempty"`
+	Done        bool            `json:"d,omitempty"`
 	// Failures counts the runs that ended as failed, and FailedRun is the last
 	// of them; a gang's are kept with its first task.
 	Failures  int `json:"f,omitempty"`
@@ -49,8 +49,8 @@
 // StepState holds the tasks of one step of one occurrence.
 type StepState struct {
 	Tasks []Task `json:"t"`
-	// Left counts the tasks that are not done.
-	Left int `json:"l"`
+	// TasksLeft counts the tasks that are not done.
+	TasksLeft int `json:"l"`
 }
 
 // JobState is what is known of one job.
@@ -58,23 +58,23 @@
 	Spec     spec.Job  `json:"spec"`
 	Accepted time.Time `json:"at"`
 	Phase    Phase     `json:"phase"`
-	// Begun says that a run of some task was ordered.
-	Begun bool `json:"begun,omitempty"`
-	// Rounds holds the steps of each occurrence; nil when it is over.
-	Rounds [][]StepState `json:"rounds,omitempty"`
-	// RoundsLeft counts the occurrences that are not done.
-	RoundsLeft int       `json:"left"`
-	Ended      time.Time `json:"ended,omitzero"`
+	// Started says that a run of some task was ordered.
+	Started bool `json:"begun,omitempty"`
+	// Occurrences holds the steps of each occurrence; nil when it is over.
+	Occurrences [][]StepState `json:"rounds,omitempty"`
+	// OccurrencesLeft counts the occurrences that are not done.
+	OccurrencesLeft int       `json:"left"`
+	Ended           time.Time `json:"ended,omitzero"`
 	// Placed counts the runs that may be at workers.
 	Placed int `json:"placed,omitempty"`
 }
 
 // Task returns a task, nil where there is none.
-func (js *JobState) Task(rf spec.Ref) *Task {
-	if rf.Occurrence >= len(js.Rounds) || rf.Step >= len(js.Spec.Steps) || js.Rounds[rf.Occurrence] == nil {
+func (js *JobState) Task(rf spec.TaskRef) *Task {
+	if rf.Occurrence >= len(js.Occurrences) || rf.Step >= len(js.Spec.Steps) || js.Occurrences[rf.Occurrence] == nil {
 		return nil
 	}
-	st := &js.Rounds[rf.Occurrence][rf.Step]
+	st := &js.Occurrences[rf.Occurrence][rf.Step]
 	if rf.Index < 0 || rf.Index >= len(st.Tasks) {
 		return nil
 	}
@@ -83,25 +83,25 @@
 
 // Checkpoint returns where the next run of a task resumes. All members of a
 // gang resume from the same.
-func (js *JobState) Checkpoint(rf spec.Ref) string {
+func (js *JobState) Checkpoint(rf spec.TaskRef) string {
 	if !js.Spec.Steps[rf.Step].Gang {
 		return js.Task(rf).Checkpoint
 	}
-	for ix := range js.Rounds[rf.Occurrence][rf.Step].Tasks {
-		if cp := js.Rounds[rf.Occurrence][rf.Step].Tasks[ix].Checkpoint; cp != "" {
+	for ix := range js.Occurrences[rf.Occurrence][rf.Step].Tasks {
+		if cp := js.Occurrences[rf.Occurrence][rf.Step].Tasks[ix].Checkpoint; cp != "" {
 			return cp
 		}
 	}
 	return ""
 }
 
-// Whole reports whether a run may do useful work: a member of a gang does
+// GangComplete reports whether a run may do useful work: a member of a gang does
 // nothing unless all others of its run are at workers too.
-func (js *JobState) Whole(key RunKey) bool {
+func (js *JobState) GangComplete(key RunKey) bool {
 	if !js.Spec.Steps[key.Task.Step].Gang {
 		return true
 	}
-	tasks := js.Rounds[key.Task.Occurrence][key.Task.Step].Tasks
+	tasks := js.Occurrences[key.Task.Occurrence][key.Task.Step].Tasks
 	for ix := range tasks {
 		if !tasks[ix].Placed() || tasks[ix].Run != key.Run {
 			return false
@@ -110,18 +110,18 @@
 	return true
 }
 
-// Unplaced reports whether a task of an occurrence may have to be placed.
-func (js *JobState) Unplaced() bool {
-	if js.RoundsLeft > 1 {
+// MayNeedPlacement reports whether a task of an occurrence may have to be placed.
+func (js *JobState) MayNeedPlacement() bool {
+	if js.OccurrencesLeft > 1 {
 		return true
 	}
 	left := 0
-	for _, round := range js.Rounds {
+	for _, round := range js.Occurrences {
 		for sp := range round {
 			if js.Spec.Steps[sp].Gang {
 				return true // members that are placed may be done
 			}
-			left += round[sp].Left
+			left += round[sp].TasksLeft
 		}
 	}
 	return left > js.Placed
@@ -130,7 +130,7 @@
 // StepReady reports whether all steps before a step are done.
 func (js *JobState) StepReady(occurrence, step int) bool {
 	for _, before := range js.Spec.Steps[step].After {
-		if js.Rounds[occurrence][before].Left > 0 {
+		if js.Occurrences[occurrence][before].TasksLeft > 0 {
 			return false
 		}
 	}
@@ -139,16 +139,16 @@
 
 // state is the whole replicated state.
 type state struct {
-	Index   uint64                                   `json:"index"`
-	Packed  catalog.Packed                           `json:"catalog"`
-	Jobs    map[spec.ID]*JobState                    `json:"jobs"`
-	Workers map[weir.InstanceID]*Worker              `json:"workers"`
-	Waves   map[int64]*Wave                          `json:"waves"`
-	Orders  map[string]*MachineOperation             `json:"orders"`
-	Active  map[spec.ID]bool                         `json:"-"`
-	ByQueue map[string]map[spec.ID]bool              `json:"-"`
-	Runs    map[weir.InstanceID]map[RunKey]spec.Need `json:"-"`
-	Loads   map[weir.InstanceID]WorkerLoad           `json:"-"`
+	Index   uint64                                        `json:"index"`
+	Packed  catalog.Packed                                `json:"catalog"`
+	Jobs    map[spec.JobID]*JobState                      `json:"jobs"`
+	Workers map[weir.InstanceID]*Worker                   `json:"workers"`
+	Waves   map[int64]*Wave                               `json:"waves"`
+	Orders  map[string]*MachineOperation                  `json:"orders"`
+	Active  map[spec.JobID]bool                           `json:"-"`
+	ByQueue map[string]map[spec.JobID]bool                `json:"-"`
+	Runs    map[weir.InstanceID]map[RunKey]spec.Resources `json:"-"`
+	Loads   map[weir.InstanceID]WorkerLoad                `json:"-"`
 	// Catalog is what Packed holds, and Queues its queues by key.
 	Catalog catalog.Catalog          `json:"-"`
 	Queues  map[string]catalog.Queue `json:"-"`
@@ -159,28 +159,28 @@
 // WorkerLoad sums up the runs that may be at a worker.
 type WorkerLoad struct {
 	// Used is the room that they take.
-	Used spec.Need
-	// Serving counts the lasting tasks that serve users, Filling those that use
+	Used spec.Resources
+	// Serving counts the lasting tasks that serve users, BestEffort those that use
 	// what others leave.
-	Serving, Filling int
-	// Lasting and Ending count all that last and all that end by themselves.
-	Lasting, Ending int
+	Serving, BestEffort int
+	// LongRunning and Batch count all that last and all that end by themselves.
+	LongRunning, Batch int
 }
 
 // with returns the load with count more runs of a step.
 func (wl WorkerLoad) with(step spec.Step, count int) WorkerLoad {
-	need := step.Counted()
-	wl.Used = wl.Used.Plus(spec.Need{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
+	need := step.Reserved()
+	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
-	case step.Filling:
-		wl.Filling += count
-	case step.Lasting:
+	case step.BestEffort:
+		wl.BestEffort += count
+	case step.LongRunning:
 		wl.Serving += count
 	}
-	if step.Lasting {
-		wl.Lasting += count
+	if step.LongRunning {
+		wl.LongRunning += count
 	} else {
-		wl.Ending += count
+		wl.Batch += count
 	}
 	return wl
 }
@@ -190,7 +190,7 @@
 
 func newState() *state {
 	st := &state{
-		Jobs: map[spec.ID]*JobState{}, Workers: map[weir.InstanceID]*Worker{},
+		Jobs: map[spec.JobID]*JobState{}, Workers: map[weir.InstanceID]*Worker{},
 		Waves: map[int64]*Wave{}, Orders: map[string]*MachineOperation{},
 	}
 	st.index()
@@ -199,22 +199,22 @@
 
 // index rebuilds what follows from the rest.
 func (st *state) index() {
-	st.Active = map[spec.ID]bool{}
-	st.ByQueue = map[string]map[spec.ID]bool{}
-	st.Runs = map[weir.InstanceID]map[RunKey]spec.Need{}
+	st.Active = map[spec.JobID]bool{}
+	st.ByQueue = map[string]map[spec.JobID]bool{}
+	st.Runs = map[weir.InstanceID]map[RunKey]spec.Resources{}
 	st.Loads = map[weir.InstanceID]WorkerLoad{}
 	st.indexQueues()
 	for id, js := range st.Jobs {
-		if js.Rounds != nil {
+		if js.Occurrences != nil {
 			st.Active[id] = true
 		}
 		st.addToQueue(js)
-		for oc, round := range js.Rounds {
+		for oc, round := range js.Occurrences {
 			for sp := range round {
 				for ix := range round[sp].Tasks {
 					tk := &round[sp].Tasks[ix]
 					if tk.Placed() {
-						st.addRun(js, spec.Ref{Job: id, Occurrence: oc, Step: sp, Index: ix}, tk)
+						st.addRun(js, spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, tk)
 					}
 				}
 			}
@@ -230,12 +230,12 @@
 }
 
 func (st *state) addToQueue(js *JobState) {
-	if js.Begun || js.Phase.Over() {
+	if js.Started || js.Phase.Terminal() {
 		return
 	}
 	jobs := st.ByQueue[js.Spec.Queue]
 	if jobs == nil {
-		jobs = map[spec.ID]bool{}
+		jobs = map[spec.JobID]bool{}
 		st.ByQueue[js.Spec.Queue] = jobs
 	}
 	jobs[js.Spec.ID] = true
@@ -243,18 +243,18 @@
 
 func (st *state) leaveQueue(js *JobState) { delete(st.ByQueue[js.Spec.Queue], js.Spec.ID) }
 
-func (st *state) addRun(js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) addRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	runs := st.Runs[tk.Worker]
 	if runs == nil {
-		runs = map[RunKey]spec.Need{}
+		runs = map[RunKey]spec.Resources{}
 		st.Runs[tk.Worker] = runs
 	}
 	step := js.Spec.Steps[rf.Step]
-	runs[RunKey{Task: rf, Run: tk.Run}] = step.Counted()
+	runs[RunKey{Task: rf, Run: tk.Run}] = step.Reserved()
 	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(step, 1)
 }
 
-func (st *state) dropRun(js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) dropRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	delete(st.Runs[tk.Worker], RunKey{Task: rf, Run: tk.Run})
 	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(js.Spec.Steps[rf.Step], -1)
 }
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"greengageweir/internal/config/catalog"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/job/spec"
 
@@ -32,24 +32,24 @@
 const KindFormat Kind = "unreadable"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
-// Answer is what became of one change.
-type Answer struct {
-	// Taken says that the state now holds the change.
-	Taken bool
+// Result is what became of one change.
+type Result struct {
+	// Applied says that the state now holds the change.
+	Applied bool
 	// Reason tells why it was not taken.
 	Reason string
 }
 
-var taken = Answer{Taken: true}
+var taken = Result{Applied: true}
 
-func refused(reason string) Answer { return Answer{Reason: reason} }
+func refused(reason string) Result { return Result{Reason: reason} }
 
 // Store is the state machine. It is safe for concurrent use.
 type Store struct {
-	// Applied is called after each entry, outside the lock; it may be nil.
-	Applied func()
+	// OnApplied is called after each entry, outside the lock; it may be nil.
+	OnApplied func()
 	// Clock dates orders for machines on this member; nil dates nothing.
 	Clock weir.Clock
 
@@ -79,9 +79,9 @@
 	if err := json.Unmarshal(data, &en); err != nil {
 		invariant.Check(false, "entryReadable", "index", index, "err", err)
 		sr.Skip(index)
-		return []Answer(nil)
+		return []Result(nil)
 	}
-	answers := make([]Answer, len(en.Changes))
+	answers := make([]Result, len(en.Changes))
 	sr.mu.Lock()
 	sr.st.Index = index
 	for ix := range en.Changes {
@@ -91,8 +91,8 @@
 		}
 	}
 	sr.mu.Unlock()
-	if sr.Applied != nil {
-		sr.Applied()
+	if sr.OnApplied != nil {
+		sr.OnApplied()
 	}
 	return answers
 }
@@ -137,13 +137,13 @@
 		sr.restoredAt = sr.Clock.Now()
 	}
 	sr.mu.Unlock()
-	if sr.Applied != nil {
-		sr.Applied()
+	if sr.OnApplied != nil {
+		sr.OnApplied()
 	}
 	return nil
 }
 
-func (st *state) apply(at time.Time, ch *Change) Answer {
+func (st *state) apply(at time.Time, ch *Change) Result {
 	switch {
 	case ch.Catalog != nil:
 		return st.applyCatalog(ch.Catalog)
@@ -170,7 +170,7 @@
 }
 
 // applyCatalog keeps the highest version; an older one changes nothing.
-func (st *state) applyCatalog(pk *catalog.Packed) Answer {
+func (st *state) applyCatalog(pk *catalog.Packed) Result {
 	if pk.Version <= st.Packed.Version {
 		return refused("version is not newer")
 	}
@@ -184,16 +184,16 @@
 	return taken
 }
 
-func (st *state) applySubmit(at time.Time, jb *spec.Job) Answer {
+func (st *state) applySubmit(at time.Time, jb *spec.Job) Result {
 	if st.Jobs[jb.ID] != nil {
-		return Answer{Taken: true, Reason: "known"}
+		return Result{Applied: true, Reason: "known"}
 	}
-	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, RoundsLeft: jb.Occurrences()}
-	js.Rounds = make([][]StepState, jb.Occurrences())
-	for oc := range js.Rounds {
-		js.Rounds[oc] = make([]StepState, len(jb.Steps))
+	js := &JobState{Spec: *jb, Accepted: at, Phase: Queued, OccurrencesLeft: jb.Occurrences()}
+	js.Occurrences = make([][]StepState, jb.Occurrences())
+	for oc := range js.Occurrences {
+		js.Occurrences[oc] = make([]StepState, len(jb.Steps))
 		for sp, step := range jb.Steps {
-			js.Rounds[oc][sp] = StepState{Tasks: make([]Task, step.Count), Left: step.Count}
+			js.Occurrences[oc][sp] = StepState{Tasks: make([]Task, step.Count), TasksLeft: step.Count}
 		}
 	}
 	st.Jobs[jb.ID] = js
@@ -202,12 +202,12 @@
 	return taken
 }
 
-func (st *state) applyCancel(at time.Time, id spec.ID) Answer {
+func (st *state) applyCancel(at time.Time, id spec.JobID) Result {
 	js := st.Jobs[id]
 	if js == nil {
 		return refused("unknown job")
 	}
-	if !js.Phase.Over() {
+	if !js.Phase.Terminal() {
 		st.end(at, js, Cancelled)
 	}
 	return taken
@@ -224,27 +224,27 @@
 // settle drops what is not needed once a job has ended and nothing of it is
 // at a worker.
 func (st *state) settle(js *JobState) {
-	if !js.Phase.Over() || js.Placed > 0 {
+	if !js.Phase.Terminal() || js.Placed > 0 {
 		return
 	}
-	js.Rounds = nil
+	js.Occurrences = nil
 	js.Spec.Text = ""
 	js.Spec.Steps = nil
 	delete(st.Active, js.Spec.ID)
 }
 
-func (st *state) applyForget(ids []spec.ID) Answer {
+func (st *state) applyForget(ids []spec.JobID) Result {
 	for _, id := range ids {
-		if js := st.Jobs[id]; js != nil && js.Phase.Over() && js.Placed == 0 {
+		if js := st.Jobs[id]; js != nil && js.Phase.Terminal() && js.Placed == 0 {
 			delete(st.Jobs, id)
 		}
 	}
 	return taken
 }
 
-func (st *state) applyStart(at time.Time, sa *Start) Answer {
+func (st *state) applyStart(at time.Time, sa *RunStart) Result {
 	js := st.Jobs[sa.Task.Job]
-	if js == nil || js.Phase.Over() {
+	if js == nil || js.Phase.Terminal() {
 		return refused("job is over")
 	}
 	tk := js.Task(sa.Task)
@@ -257,27 +257,27 @@
 	case tk.Placed():
 		// Also where copies are allowed: they are not placed yet.
 		return refused("a run is not over")
-	case wk == nil || wk.Born != sa.Born:
+	case wk == nil || wk.Incarnation != sa.Incarnation:
 		return refused("worker is gone")
 	case wk.Draining:
 		return refused("worker drains")
 	case !js.StepReady(sa.Task.Occurrence, sa.Task.Step):
 		return refused("an earlier step is not done")
 	}
-	tk.Run, tk.Worker, tk.Born, tk.StartedAt = sa.Run, sa.Worker, sa.Born, at
+	tk.Run, tk.Worker, tk.Incarnation, tk.StartedAt = sa.Run, sa.Worker, sa.Incarnation, at
 	js.Placed++
 	st.addRun(js, sa.Task, tk)
-	if !js.Begun {
+	if !js.Started {
 		st.leaveQueue(js)
-		js.Begun = true
+		js.Started = true
 		js.Phase = Running
 	}
 	return taken
 }
 
-func (st *state) applyEnd(at time.Time, en *End) Answer {
+func (st *state) applyEnd(at time.Time, en *RunEnd) Result {
 	js := st.Jobs[en.Task.Job]
-	if js == nil || js.Rounds == nil {
+	if js == nil || js.Occurrences == nil {
 		return refused("job is over")
 	}
 	tk := js.Task(en.Task)
@@ -292,9 +292,9 @@
 	switch {
 	case tk.Done:
 		// Another member's end stood for the whole gang.
-	case en.How == EndDone && !step.Lasting:
+	case en.Reason == EndDone && !step.LongRunning:
 		st.taskDone(at, js, en.Task, tk, step)
-	case en.How == EndFailed && !step.Lasting:
+	case en.Reason == EndFailed && !step.LongRunning:
 		st.taskFailed(at, js, en, tk, step)
 	}
 	st.settle(js)
@@ -309,9 +309,9 @@
 
 // taskFailed counts a failure. A gang fails once a run, however many of its
 // members say so.
-func (st *state) taskFailed(at time.Time, js *JobState, en *End, tk *Task, step spec.Step) {
+func (st *state) taskFailed(at time.Time, js *JobState, en *RunEnd, tk *Task, step spec.Step) {
 	if step.Gang {
-		tk = &js.Rounds[en.Task.Occurrence][en.Task.Step].Tasks[0]
+		tk = &js.Occurrences[en.Task.Occurrence][en.Task.Step].Tasks[0]
 	}
 	if tk.FailedRun >= en.Run {
 		return
@@ -319,37 +319,37 @@
 	tk.FailedRun = en.Run
 	tk.Failures++
 	qu, ok := st.Queues[js.Spec.Queue]
-	if ok && tk.Failures >= max(qu.MaxAttempts, 1) && !js.Phase.Over() {
+	if ok && tk.Failures >= max(qu.MaxAttempts, 1) && !js.Phase.Terminal() {
 		st.end(at, js, Failed)
 	}
 }
 
-func (st *state) free(at time.Time, js *JobState, rf spec.Ref, tk *Task) {
+func (st *state) free(at time.Time, js *JobState, rf spec.TaskRef, tk *Task) {
 	st.dropRun(js, rf, tk)
-	tk.Worker, tk.Born, tk.EndedAt = "", 0, at
+	tk.Worker, tk.Incarnation, tk.EndedAt = "", 0, at
 	js.Placed--
 }
 
-func (st *state) taskDone(at time.Time, js *JobState, rf spec.Ref, tk *Task, step spec.Step) {
-	ss := &js.Rounds[rf.Occurrence][rf.Step]
+func (st *state) taskDone(at time.Time, js *JobState, rf spec.TaskRef, tk *Task, step spec.Step) {
+	ss := &js.Occurrences[rf.Occurrence][rf.Step]
 	if step.Gang {
 		// One end stands for all members; those still listed end by themselves.
 		for ix := range ss.Tasks {
 			ss.Tasks[ix].Done = true
 		}
-		ss.Left = 0
+		ss.TasksLeft = 0
 	} else {
 		tk.Done = true
 		tk.Checkpoint = ""
-		ss.Left--
+		ss.TasksLeft--
 	}
-	for _, other := range js.Rounds[rf.Occurrence] {
-		if other.Left > 0 {
+	for _, other := range js.Occurrences[rf.Occurrence] {
+		if other.TasksLeft > 0 {
 			return
 		}
 	}
-	js.RoundsLeft--
-	if js.RoundsLeft == 0 && !js.Phase.Over() {
+	js.OccurrencesLeft--
+	if js.OccurrencesLeft == 0 && !js.Phase.Terminal() {
 		st.end(at, js, Done)
 	}
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -44,52 +44,52 @@
 
 func testWorker(ix int, born int64) *Worker {
 	return &Worker{
-		ID: weir.InstanceID(fmt.Sprint("w", ix)), Born: born, Pool: "desk", Address: fmt.Sprint("addr", ix),
-		Machine: fmt.Sprint("m", ix), Room: spec.Need{MilliCPU: 8000},
+		ID: weir.InstanceID(fmt.Sprint("w", ix)), Incarnation: born, Pool: "desk", Address: fmt.Sprint("addr", ix),
+		Machine: fmt.Sprint("m", ix), Capacity: spec.Resources{MilliCPU: 8000},
 	}
 }
 
-func (fx *fixture) apply(ch Change) Answer {
+func (fx *fixture) apply(ch Change) Result {
 	data, err := Entry{At: testNow, Changes: []Change{ch}}.Encode()
 	require.NoError(fx.t, err)
 	fx.index++
-	answers, ok := fx.sr.Apply(fx.index, data).([]Answer)
+	answers, ok := fx.sr.Apply(fx.index, data).([]Result)
 	require.True(fx.t, ok)
 	return answers[0]
 }
 
 func (fx *fixture) taken(ch Change) {
 	ans := fx.apply(ch)
-	require.True(fx.t, ans.Taken, "%+v: %s", ch, ans.Reason)
+	require.True(fx.t, ans.Applied, "%+v: %s", ch, ans.Reason)
 }
 
 func (fx *fixture) refused(ch Change, reason string) {
 	ans := fx.apply(ch)
-	require.False(fx.t, ans.Taken)
+	require.False(fx.t, ans.Applied)
 	require.Equal(fx.t, reason, ans.Reason)
 }
 
 func (fx *fixture) submit(id string, steps ...spec.Step) {
-	fx.taken(Change{Submit: &spec.Job{ID: spec.ID(id), Queue: "h/q/", Text: "text", Steps: steps}})
+	fx.taken(Change{Submit: &spec.Job{ID: spec.JobID(id), Queue: "h/q/", Text: "text", Steps: steps}})
 }
 
 func (fx *fixture) phase(id string) Phase {
 	var ph Phase
-	fx.sr.Read(func(rd Reader) { ph = rd.Job(spec.ID(id)).Phase })
+	fx.sr.Read(func(rd Reader) { ph = rd.Job(spec.JobID(id)).Phase })
 	return ph
 }
 
 func start(job string, step, index, run, worker int) Change {
-	return Change{Start: &Start{
-		Task: spec.Ref{Job: spec.ID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1,
+	return Change{Start: &RunStart{
+		Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Worker: weir.InstanceID(fmt.Sprint("w", worker)), Incarnation: 1,
 	}}
 }
 
-func end(job string, step, index, run int, how How) Change {
-	return Change{End: &End{Task: spec.Ref{Job: spec.ID(job), Step: step, Index: index}, Run: run, How: how}}
+func end(job string, step, index, run int, how EndReason) Change {
+	return Change{End: &RunEnd{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Reason: how}}
 }
 
-var one = spec.Step{Count: 1, Need: spec.Need{MilliCPU: 1000}}
+var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
 
 func TestStepsRunInOrder(t *testing.T) {
 	fx := newFixture(t)
@@ -129,7 +129,7 @@
 	}
 	require.Equal(t, Failed, fx.phase("a"))
 
-	fx.submit("lasting", spec.Step{Count: 1, Lasting: true})
+	fx.submit("lasting", spec.Step{Count: 1, LongRunning: true})
 	for run := 1; run <= 5; run++ {
 		fx.taken(start("lasting", 0, 0, run, 0))
 		fx.taken(end("lasting", 0, 0, run, EndFailed))
@@ -148,14 +148,14 @@
 	fx := newFixture(t)
 	fx.submit("a", one)
 	fx.taken(start("a", 0, 0, 1, 0))
-	id := spec.ID("a")
+	id := spec.JobID("a")
 	fx.taken(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"))
 	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1) })
 	fx.taken(end("a", 0, 0, 1, EndStopped))
 	fx.sr.Read(func(rd Reader) {
 		require.Empty(t, rd.Runs("w0"))
-		require.Nil(t, rd.Job("a").Rounds)
+		require.Nil(t, rd.Job("a").Occurrences)
 	})
 	fx.taken(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"), "again is no error")
@@ -163,7 +163,7 @@
 
 func TestLivesOfWorkers(t *testing.T) {
 	fx := newFixture(t)
-	fx.submit("a", spec.Step{Count: 3, Need: spec.Need{MilliCPU: 1000}})
+	fx.submit("a", spec.Step{Count: 3, Resources: spec.Resources{MilliCPU: 1000}})
 	for ix := range 3 {
 		fx.taken(start("a", 0, ix, 1, ix))
 	}
@@ -175,22 +175,22 @@
 	fx.sr.Read(func(rd Reader) {
 		_, ok := rd.Worker("w0")
 		require.False(t, ok)
-		require.False(t, rd.Job("a").Task(spec.Ref{Job: "a"}).Placed())
+		require.False(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed())
 	})
 	// The same id again: what ran there is uncertain, so it stays placed.
 	fx.taken(Change{Join: testWorker(1, 5)})
 	fx.sr.Read(func(rd Reader) {
-		tk := rd.Job("a").Task(spec.Ref{Job: "a", Index: 1})
+		tk := rd.Job("a").Task(spec.TaskRef{Job: "a", Index: 1})
 		require.True(t, tk.Placed())
-		require.Equal(t, int64(5), tk.Born)
+		require.Equal(t, int64(5), tk.Incarnation)
 	})
-	fx.refused(Change{Leave: &Leave{ID: "w1", Born: 1}}, "not the present life")
-	fx.taken(Change{Leave: &Leave{ID: "w2", Born: 1}})
+	fx.refused(Change{Leave: &WorkerLeave{ID: "w1", Incarnation: 1}}, "not the present life")
+	fx.taken(Change{Leave: &WorkerLeave{ID: "w2", Incarnation: 1}})
 	fx.refused(start("a", 0, 2, 2, 2), "worker is gone")
 	draining := testWorker(1, 5)
 	draining.Draining = true
 	fx.taken(Change{Join: draining})
-	fx.refused(Change{Start: &Start{Task: spec.Ref{Job: "a", Index: 2}, Run: 2, Worker: "w1", Born: 5}}, "worker drains")
+	fx.refused(Change{Start: &RunStart{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Incarnation: 5}}, "worker drains")
 	// Word from before the drain comes late, perhaps to a later leader.
 	draining.Sequence = 7
 	fx.taken(Change{Join: draining})
@@ -207,16 +207,16 @@
 
 func TestWaves(t *testing.T) {
 	fx := newFixture(t)
-	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, AtOnce: 1}})
+	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, MaxParallel: 1}})
 	done := func() (done bool) {
-		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].Done() })
+		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].AllStarted() })
 		return done
 	}
 	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1}})
 	fx.refused(Change{Machine: &MachineOperation{Machine: "m0", Pool: "desk"}}, "an operation is under way")
-	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Begun: true}})
+	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Started: true}})
 	require.False(t, done())
-	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, Void: true}})
+	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, NotExecuted: true}})
 	require.True(t, done(), "a machine that is not there holds nothing up")
 	require.Equal(t, "known", fx.apply(Change{Wave: &Wave{Number: 1}}).Reason)
 }
@@ -247,11 +247,11 @@
 
 	fx.submit("b", spec.Step{Count: 2, Gang: true, Checkpointing: true})
 	fx.taken(start("b", 0, 0, 1, 0))
-	fx.taken(Change{End: &End{Task: spec.Ref{Job: "b"}, Run: 1, How: EndBroken, Checkpoint: "here"}})
+	fx.taken(Change{End: &RunEnd{Task: spec.TaskRef{Job: "b"}, Run: 1, Reason: EndBroken, Checkpoint: "here"}})
 	fx.taken(start("b", 0, 0, 2, 0))
 	fx.taken(start("b", 0, 1, 2, 1))
 	fx.sr.Read(func(rd Reader) {
-		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.Ref{Job: "b", Index: 1}), "all resume from the same")
+		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.TaskRef{Job: "b", Index: 1}), "all resume from the same")
 	})
 }
 
@@ -260,7 +260,7 @@
 func TestGangOfSeveralOccurrences(t *testing.T) {
 	fx := newFixture(t)
 	fx.taken(Change{Submit: &spec.Job{
-		ID: "a", Queue: "h/q/", Times: 3, StartAt: testNow, Every: time.Second, Steps: []spec.Step{{Count: 3, Gang: true}},
+		ID: "a", Queue: "h/q/", OccurrenceCount: 3, StartAt: testNow, Every: time.Second, Steps: []spec.Step{{Count: 3, Gang: true}},
 	}})
 	for ix := range 3 {
 		fx.taken(start("a", 0, ix, 1, ix))
@@ -269,7 +269,7 @@
 		fx.taken(end("a", 0, ix, 1, EndDone))
 	}
 	require.Equal(t, Running, fx.phase("a"))
-	fx.sr.Read(func(rd Reader) { require.Equal(t, 2, rd.Job("a").RoundsLeft) })
+	fx.sr.Read(func(rd Reader) { require.Equal(t, 2, rd.Job("a").OccurrencesLeft) })
 }
 
 // TestRandomChanges applies changes at random and checks after each that no
@@ -279,9 +279,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		fx := newFixture(rt)
 		for job := range 3 {
-			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Need: spec.Need{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
+			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Resources: spec.Resources{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
 		}
-		hows := []How{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
+		hows := []EndReason{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			job := fmt.Sprint("j", rapid.IntRange(0, 2).Draw(rt, "job"))
 			step, index := rapid.IntRange(0, 1).Draw(rt, "step"), rapid.IntRange(0, 1).Draw(rt, "index")
@@ -292,10 +292,10 @@
 			case 4, 5, 6:
 				fx.apply(end(job, step, index, run, rapid.SampledFrom(hows).Draw(rt, "how")))
 			case 7:
-				id := spec.ID(job)
+				id := spec.JobID(job)
 				fx.apply(Change{Cancel: &id})
 			case 8:
-				fx.apply(Change{Leave: &Leave{ID: weir.InstanceID(fmt.Sprint("w", worker)), Born: 1}})
+				fx.apply(Change{Leave: &WorkerLeave{ID: weir.InstanceID(fmt.Sprint("w", worker)), Incarnation: 1}})
 			case 9:
 				fx.apply(Change{Join: testWorker(worker, 1)})
 			}
@@ -317,7 +317,7 @@
 	placed := map[weir.InstanceID]int{}
 	for id, js := range st.Jobs {
 		count := 0
-		for oc, round := range js.Rounds {
+		for oc, round := range js.Occurrences {
 			for sp := range round {
 				left := 0
 				for ix := range round[sp].Tasks {
@@ -331,14 +331,14 @@
 					require.False(t, tk.Done, "a finished task is placed")
 					count++
 					placed[tk.Worker]++
-					key := RunKey{Task: spec.Ref{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
+					key := RunKey{Task: spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
 					require.Contains(t, st.Runs[tk.Worker], key)
 				}
-				require.Equal(t, left, round[sp].Left)
+				require.Equal(t, left, round[sp].TasksLeft)
 			}
 		}
 		require.Equal(t, count, js.Placed)
-		require.Equal(t, js.Rounds != nil, st.Active[id])
+		require.Equal(t, js.Occurrences != nil, st.Active[id])
 	}
 	for id, runs := range st.Runs {
 		require.Len(t, runs, placed[id])
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -7,12 +7,12 @@
 // applyJoin records a worker. A later life of the same id, or on the same
 // machine or address, ends the earlier one; what ran there is then uncertain
 // only where the id is the same, and the leader asks the new life about it.
-func (st *state) applyJoin(at time.Time, wk *Worker) Answer {
+func (st *state) applyJoin(at time.Time, wk *Worker) Result {
 	old := st.Workers[wk.ID]
-	if old != nil && old.Born > wk.Born {
+	if old != nil && old.Incarnation > wk.Incarnation {
 		return refused("an earlier life")
 	}
-	if old != nil && old.Born == wk.Born && old.Sequence > wk.Sequence {
+	if old != nil && old.Incarnation == wk.Incarnation && old.Sequence > wk.Sequence {
 		return refused("earlier word of this life")
 	}
 	for id, other := range st.Workers {
@@ -20,12 +20,12 @@
 		if id == wk.ID || !same {
 			continue
 		}
-		if other.Born > wk.Born {
+		if other.Incarnation > wk.Incarnation {
 			return refused("another worker has its place")
 		}
 		st.endLife(at, other)
 	}
-	if old != nil && old.Born != wk.Born {
+	if old != nil && old.Incarnation != wk.Incarnation {
 		st.moveRuns(old, wk)
 	}
 	fresh := *wk
@@ -39,14 +39,14 @@
 func (st *state) moveRuns(old, wk *Worker) {
 	for key := range st.Runs[old.ID] {
 		if tk := st.Jobs[key.Task.Job].Task(key.Task); tk != nil {
-			tk.Born = wk.Born
+			tk.Incarnation = wk.Incarnation
 		}
 	}
 }
 
-func (st *state) applyLeave(at time.Time, lv *Leave) Answer {
+func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Result {
 	wk := st.Workers[lv.ID]
-	if wk == nil || wk.Born != lv.Born {
+	if wk == nil || wk.Incarnation != lv.Incarnation {
 		return refused("not the present life")
 	}
 	st.endLife(at, wk)
@@ -60,7 +60,7 @@
 		keys = append(keys, key)
 	}
 	for _, key := range keys {
-		st.applyEnd(at, &End{Task: key.Task, Run: key.Run, How: EndLost})
+		st.applyEnd(at, &RunEnd{Task: key.Task, Run: key.Run, Reason: EndLost})
 	}
 	delete(st.Workers, wk.ID)
 	delete(st.Runs, wk.ID)
@@ -68,18 +68,18 @@
 	st.WorkerChanges++
 }
 
-func (st *state) applyWave(wv *Wave) Answer {
+func (st *state) applyWave(wv *Wave) Result {
 	if st.Waves[wv.Number] != nil {
-		return Answer{Taken: true, Reason: "known"}
+		return Result{Applied: true, Reason: "known"}
 	}
 	fresh := *wv
-	fresh.Begun = map[string]bool{}
+	fresh.Started = map[string]bool{}
 	st.Waves[wv.Number] = &fresh
 	return taken
 }
 
-func (st *state) applyMachine(op *MachineOperation) Answer {
-	if !op.Begun && !op.Void {
+func (st *state) applyMachine(op *MachineOperation) Result {
+	if !op.Started && !op.NotExecuted {
 		if st.Orders[op.Machine] != nil {
 			return refused("an operation is under way")
 		}
@@ -91,7 +91,7 @@
 	// A machine that the platform does not know, or not as part of the wave,
 	// holds the wave up no longer.
 	if wv := st.Waves[op.Wave]; wv != nil {
-		wv.Begun[op.Machine] = true
+		wv.Started[op.Machine] = true
 	}
 	return taken
 }
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 	"github.com/valyala/fasthttp"
@@ -41,11 +41,11 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
-	// ProofAge is how long a connection counts as proven after it answered.
-	ProofAge = time.Second
+	// MaxReuseAge is how long a connection counts as proven after it answered.
+	MaxReuseAge = time.Second
 	// MaxBodyBytes bounds the body of an answer.
 	MaxBodyBytes = 4 << 20
 
@@ -54,8 +54,8 @@
 	bufferBytes = 8 << 10
 )
 
-// Field is one header field.
-type Field struct{ Name, Value string }
+// Header is one header field.
+type Header struct{ Name, Value string }
 
 // Request is what is sent to an endpoint.
 type Request struct {
@@ -63,9 +63,9 @@
 	// Host names the endpoint; empty stands for the pool's address.
 	Host string
 	// Path may have a query; it is sent as it is.
-	Path   string
-	Fields []Field
-	Body   []byte
+	Path    string
+	Headers []Header
+	Body    []byte
 	// Repeatable requests may be put on a connection that has not proven
 	// itself lately.
 	Repeatable bool
@@ -79,8 +79,8 @@
 	raw *fasthttp.Response
 }
 
-// Field returns the value of a header field, "" where there is none.
-func (rs *Response) Field(name string) string { return string(rs.raw.Header.Peek(name)) }
+// Header returns the value of a header field, "" where there is none.
+func (rs *Response) Header(name string) string { return string(rs.raw.Header.Peek(name)) }
 
 // Pool holds the connections to one endpoint.
 type Pool struct {
@@ -162,7 +162,7 @@
 // take returns an idle connection that is proven, or a new one.
 func (pl *Pool) take(ctx context.Context, repeatable bool) (*conn, error) {
 	now := pl.clk.Now()
-	maxAge := ProofAge
+	maxAge := MaxReuseAge
 	if repeatable {
 		maxAge = idleAge
 	}
@@ -258,7 +258,7 @@
 		raw.Header.SetHost(pl.addr)
 	}
 	raw.Header.SetNoDefaultContentType(true)
-	for _, fd := range req.Fields {
+	for _, fd := range req.Headers {
 		raw.Header.Set(fd.Name, fd.Value)
 	}
 	raw.SetBodyRaw(req.Body)
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 // scripted serves each connection with a function and counts connections.
@@ -97,7 +97,7 @@
 				require.Equal(t, "ok", string(resp.Body))
 				return
 			}
-			require.True(t, fault.Is(err, tc.kind), "got %v", err)
+			require.True(t, errkind.Is(err, tc.kind), "got %v", err)
 		})
 	}
 }
@@ -108,12 +108,12 @@
 	addr := lis.Addr().String()
 	require.NoError(t, lis.Close())
 	_, err = NewPool(addr, 1, clock.System{}).Do(context.Background(), booking)
-	require.True(t, fault.Is(err, KindNotSent), "nobody listens")
+	require.True(t, errkind.Is(err, KindNotSent), "nobody listens")
 
 	pl := NewPool(addr, 1, clock.System{})
 	pl.limit <- struct{}{}
 	_, err = pl.Do(context.Background(), booking)
-	require.True(t, fault.Is(err, KindNotSent), "all connections in use")
+	require.True(t, errkind.Is(err, KindNotSent), "all connections in use")
 }
 
 // TestUnprovenConnection lets a kept connection go silent. Only a request
@@ -129,7 +129,7 @@
 	pl := NewPool(addr, 4, clk)
 	_, err := pl.Do(context.Background(), booking)
 	require.NoError(t, err)
-	clk.Advance(ProofAge + time.Millisecond)
+	clk.Advance(MaxReuseAge + time.Millisecond)
 	patient, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	_, err = pl.Do(patient, booking)
@@ -140,7 +140,7 @@
 	read := booking
 	read.Repeatable = true
 	_, err = pl.Do(ctx, read)
-	require.True(t, fault.Is(err, KindBroken), "a read may find out")
+	require.True(t, errkind.Is(err, KindBroken), "a read may find out")
 	require.Equal(t, int32(2), conns.Load())
 }
 
@@ -183,12 +183,12 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nX-Reason: none\r\nContent-Length: 0\r\n\r\n")
 	})
 	resp, err := NewPool(addr, 1, clock.System{}).Do(context.Background(), Request{
-		Method: http.MethodPut, Path: "/a%20b?c=d", Fields: []Field{{"X-Life", "i-1"}, {"Content-Type", "application/json"}}, Body: []byte("{}"),
+		Method: http.MethodPut, Path: "/a%20b?c=d", Headers: []Header{{"X-Life", "i-1"}, {"Content-Type", "application/json"}}, Body: []byte("{}"),
 	})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNotFound, resp.Status)
-	require.Equal(t, "none", resp.Field("X-Reason"))
-	require.Empty(t, resp.Field("X-Other"))
+	require.Equal(t, "none", resp.Header("X-Reason"))
+	require.Empty(t, resp.Header("X-Other"))
 	req := <-seen
 	require.Equal(t, http.MethodPut, req.Method)
 	require.Equal(t, "/a%20b?c=d", req.URL.String())
--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -21,8 +21,8 @@
 	Addr  string
 	Token string
 	Self  Identity
-	// BeatEvery is the time between heartbeats; zero is the package's.
-	BeatEvery time.Duration
+	// HeartbeatInterval is the time between heartbeats; zero is the package's.
+	HeartbeatInterval time.Duration
 	// Handle answers notifications that the server sends; it may be nil.
 	Handle Handler
 
@@ -79,9 +79,9 @@
 
 // beat sends heartbeats until one is not answered in time.
 func (cl *Client) beat(ctx context.Context, conn *jsonrpc2.Conn) {
-	every := cl.BeatEvery
+	every := cl.HeartbeatInterval
 	if every == 0 {
-		every = BeatEvery
+		every = HeartbeatInterval
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -100,7 +100,7 @@
 }
 
 func timedCall(ctx context.Context, conn *jsonrpc2.Conn, method string, params any) error {
-	ctx, cancel := context.WithTimeout(ctx, SilentAfter)
+	ctx, cancel := context.WithTimeout(ctx, LinkTimeout)
 	defer cancel()
 	return conn.Call(ctx, method, params, nil)
 }
@@ -118,8 +118,8 @@
 	return cl.conn
 }
 
-// Ready reports whether the link is up.
-func (cl *Client) Ready() bool { return cl.Conn() != nil }
+// Connected reports whether the link is up.
+func (cl *Client) Connected() bool { return cl.Conn() != nil }
 
 // Call sends a request and waits for its result.
 func (cl *Client) Call(ctx context.Context, method string, params, result any) error {
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -16,7 +16,7 @@
 	"encoding/json"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 
 	"github.com/sourcegraph/jsonrpc2"
 )
@@ -37,15 +37,15 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// ProtocolVersion is sent in each greeting.
 	ProtocolVersion = 1
-	// BeatEvery is the time between heartbeats of a link.
-	BeatEvery = 300 * time.Millisecond
-	// SilentAfter is the time after which a link without an answer is closed.
-	SilentAfter = 1500 * time.Millisecond
+	// HeartbeatInterval is the time between heartbeats of a link.
+	HeartbeatInterval = 300 * time.Millisecond
+	// LinkTimeout is the time after which a link without an answer is closed.
+	LinkTimeout = 1500 * time.Millisecond
 
 	methodHello = "link.hello"
 	methodBeat  = "link.beat"
@@ -89,8 +89,8 @@
 // goroutine and must not block.
 type Handler func(ctx context.Context, call Call) (any, error)
 
-// Unknown returns the error for a method that a process does not have.
-func Unknown(method string) error {
+// MethodNotFound returns the error for a method that a process does not have.
+func MethodNotFound(method string) error {
 	return &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + method}
 }
 
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 )
 
 const testToken = "a-token-of-the-test"
@@ -50,7 +50,7 @@
 
 func echo(_ context.Context, call Call) (any, error) {
 	if call.Method != "echo" {
-		return nil, Unknown(call.Method)
+		return nil, MethodNotFound(call.Method)
 	}
 	var text string
 	if err := call.Decode(&text); err != nil {
@@ -61,12 +61,12 @@
 
 func TestCall(t *testing.T) {
 	cl := startClient(t, startServer(t, echo).Address(), testToken)
-	require.Eventually(t, cl.Ready, 5*time.Second, time.Millisecond)
+	require.Eventually(t, cl.Connected, 5*time.Second, time.Millisecond)
 	var got string
 	require.NoError(t, cl.Call(context.Background(), "echo", "hi", &got))
 	require.Equal(t, "e1:hi", got)
-	require.True(t, fault.Is(cl.Call(context.Background(), "nothing", 1, nil), KindRemote))
-	require.True(t, fault.Is(cl.Call(context.Background(), "echo", 1, nil), KindRemote), "wrong type")
+	require.True(t, errkind.Is(cl.Call(context.Background(), "nothing", 1, nil), KindRemote))
+	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", 1, nil), KindRemote), "wrong type")
 }
 
 func TestWrongTokenIsRefused(t *testing.T) {
@@ -74,9 +74,9 @@
 	sv := startServer(t, func(context.Context, Call) (any, error) { called.Store(true); return nil, nil })
 	cl := startClient(t, sv.Address(), "another-token-entirely")
 	time.Sleep(200 * time.Millisecond)
-	require.False(t, cl.Ready())
+	require.False(t, cl.Connected())
 	require.False(t, called.Load())
-	require.True(t, fault.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
+	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
 }
 
 func TestOversizedFrameEndsTheLink(t *testing.T) {
@@ -116,9 +116,9 @@
 		}
 	}()
 	cl := startClient(t, lis.Addr().String(), testToken)
-	require.Eventually(t, cl.Ready, 5*time.Second, time.Millisecond)
+	require.Eventually(t, cl.Connected, 5*time.Second, time.Millisecond)
 	silent.Store(true)
-	require.Eventually(t, func() bool { return accepted.Load() == 2 && cl.Ready() }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return accepted.Load() == 2 && cl.Connected() }, 10*time.Second, 10*time.Millisecond)
 	var got string
 	require.NoError(t, cl.Call(context.Background(), "echo", "again", &got))
 }
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"greengageweir/internal/fleet/command"
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 
 	weir "greengageweir"
@@ -28,15 +28,15 @@
 	ReturnTimeout = 120 * time.Second
 )
 
-// Evidence is what the leader knows beyond the replicated state.
-type Evidence struct {
+// Observations is what the leader knows beyond the replicated state.
+type Observations struct {
 	// UpSince is when an instance was first seen up in its present
 	// incarnation, without a break.
 	UpSince map[weir.InstanceID]time.Time
 }
 
-// Next returns the commands to propose now.
-func Next(rd machine.Reader, ev Evidence, now time.Time) []command.Command {
+// NextCommands returns the commands to propose now.
+func NextCommands(rd fsm.Reader, ev Observations, now time.Time) []command.Command {
 	pl := &planner{rd: rd, ev: ev, now: now, headroom: map[weir.PoolName]int{}}
 	for _, pool := range rd.Pools() {
 		pl.headroom[pool.Name] = rd.Headroom(pool.Name)
@@ -51,8 +51,8 @@
 }
 
 type planner struct {
-	rd       machine.Reader
-	ev       Evidence
+	rd       fsm.Reader
+	ev       Observations
 	now      time.Time
 	headroom map[weir.PoolName]int
 	steps    []command.Command
@@ -68,7 +68,7 @@
 func (pl *planner) unsettled() []view.Member {
 	var list []view.Member
 	for _, mem := range pl.rd.Members() {
-		if mem.Phase != view.Serving || mem.Pool != mem.Home {
+		if mem.Phase != view.Serving || mem.Pool != mem.ConfiguredPool {
 			list = append(list, mem)
 		}
 	}
@@ -106,7 +106,7 @@
 func (pl *planner) waveGoesOn(name string) bool {
 	for _, wv := range pl.rd.Waves() {
 		if wv.Name == name {
-			return wv.State == machine.WaveRunning
+			return wv.State == fsm.WaveRunning
 		}
 	}
 	return false
@@ -129,11 +129,11 @@
 // retires those it no longer holds, as far as budgets allow.
 func (pl *planner) reachHomes(busy []view.Member) {
 	for _, mem := range busy {
-		if mem.Phase != view.Serving || mem.Lent || mem.Pool == mem.Home {
+		if mem.Phase != view.Serving || mem.Lent || mem.Pool == mem.ConfiguredPool {
 			continue
 		}
 		up := pl.rd.Statuses()[mem.Instance].Up
-		if mem.Home == "" && !up {
+		if mem.ConfiguredPool == "" && !up {
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
@@ -141,19 +141,19 @@
 			continue
 		}
 		pl.headroom[mem.Pool]--
-		if mem.Home == "" {
+		if mem.ConfiguredPool == "" {
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
-		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.Home}})
+		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.ConfiguredPool}})
 	}
 }
 
 // grant proposes permits while the wave and the budgets allow more. Instances
 // of pools with the most headroom go first, so that one tight pool does not
 // hold up the wave.
-func (pl *planner) grant(wv *machine.Wave) {
-	if wv.State != machine.WaveRunning {
+func (pl *planner) grant(wv *fsm.Wave) {
+	if wv.State != fsm.WaveRunning {
 		return
 	}
 	room := wv.MaxParallel - len(wv.Active)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (pl *planner) candidates(wv *machine.Wave) []weir.InstanceID {
+func (pl *planner) candidates(wv *fsm.Wave) []weir.InstanceID {
 	ids := make([]weir.InstanceID, 0, len(wv.Todo))
 	for id := range wv.Todo {
 		mem, ok := pl.rd.Members()[id]
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -15,7 +15,7 @@
 	"sync"
 
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/state/replica"
 
@@ -30,7 +30,7 @@
 const KindNoPeer Kind = "no such process"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 // ringSlots bounds the messages that wait to be sent to one member; with
 // entries of some kilobytes it is a few megabytes.
@@ -39,7 +39,7 @@
 // beatEvery is the time between heartbeats of a link: two fit into the time
 // after which a link counts as silent. With 45 entry instances and five
 // members, beats are a sixth of all that a follower handles.
-const beatEvery = peer.SilentAfter / 2
+const beatEvery = peer.LinkTimeout / 2
 
 // Links are the links to the other processes. Set the exported fields before
 // Run.
@@ -106,11 +106,11 @@
 		return
 	}
 	mb := &member{
-		calls: &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, BeatEvery: beatEvery},
+		calls: &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery},
 		ring:  make(chan replica.Message, ringSlots),
 	}
 	if !ls.NoRaft {
-		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, BeatEvery: beatEvery}
+		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery}
 	}
 	ls.members[id] = mb
 	if ls.ctx != nil && ls.ctx.Err() == nil {
@@ -131,7 +131,7 @@
 // Ready reports whether the link to a process is up.
 func (ls *Links) Ready(id string) bool {
 	mb := ls.member(id)
-	return mb != nil && mb.calls.Ready()
+	return mb != nil && mb.calls.Connected()
 }
 
 func (ls *Links) member(id string) *member {
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -48,10 +48,10 @@
 type Roster struct {
 	// Self is this process's id, which is also its address for others.
 	Self string
-	// Holder says that this process holds the log.
-	Holder bool
-	Seeds  []string
-	Links  *links.Links
+	// HoldsLog says that this process holds the log.
+	HoldsLog bool
+	Seeds    []string
+	Links    *links.Links
 	// Log is nil where this process does not hold it.
 	Log Log
 	// Voters is how many voters there should be.
@@ -69,7 +69,7 @@
 // Default makes the seeds known.
 func (ro *Roster) Default() error {
 	ro.holders = map[string]bool{}
-	if ro.Holder {
+	if ro.HoldsLog {
 		ro.holders[ro.Self] = true
 	}
 	for _, id := range ro.Seeds {
@@ -88,8 +88,8 @@
 	_ = ro.Logger.Log("level", "info", "msg", "process found", "peer", id)
 }
 
-// Learn makes further seeds known.
-func (ro *Roster) Learn(seeds []string) {
+// AddSeeds makes further seeds known.
+func (ro *Roster) AddSeeds(seeds []string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for _, id := range seeds {
@@ -121,13 +121,13 @@
 	ro.leader = id
 }
 
-// Answer answers another process's question and learns of it.
-func (ro *Roster) Answer(in jobapi.Introduction) jobapi.Listing {
+// HandleIntroduction answers another process's question and learns of it.
+func (ro *Roster) HandleIntroduction(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
-	if in.Holder {
+	if in.Replica {
 		ro.learn(in.ID)
 	}
-	list := jobapi.Listing{Holders: slices.Sorted(maps.Keys(ro.holders))}
+	list := jobapi.DirectoryReply{Replicas: slices.Sorted(maps.Keys(ro.holders))}
 	ro.mu.Unlock()
 	list.Leader = ro.Leader()
 	return list
@@ -175,14 +175,14 @@
 func (ro *Roster) ask(ctx context.Context, id string) {
 	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	var list jobapi.Listing
-	if err := ro.Links.Call(callCtx, id, jobapi.Directory, jobapi.Introduction{Holder: ro.Holder, ID: ro.Self}, &list); err != nil {
+	var list jobapi.DirectoryReply
+	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
 		return
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for _, holder := range list.Holders {
+	for _, holder := range list.Replicas {
 		ro.learn(holder)
 	}
 	if list.Leader != "" {
--- a/internal/schedule/plan/plan.go
+++ b/internal/schedule/placement/plan.go
@@ -9,7 +9,7 @@
 // Usage:
 //
 //	for _, pl := range plan.Place(now, groups, workers) { ... }
-package plan
+package placement
 
 import (
 	"cmp"
@@ -63,7 +63,7 @@
 	Kind string
 	Rack string
 	// Free is the room that no run takes.
-	Free spec.Need
+	Free spec.Resources
 	// Serving and Filling count the lasting tasks, apart from those that use
 	// what others leave.
 	Serving int
@@ -110,9 +110,9 @@
 // and a job that has missed its objective must not make others miss theirs.
 func (gr Group) class(now time.Time) int {
 	switch {
-	case gr.Spec.Lasting && !gr.Spec.Filling:
+	case gr.Spec.LongRunning && !gr.Spec.BestEffort:
 		return 0
-	case gr.Spec.Lasting:
+	case gr.Spec.LongRunning:
 		return 1
 	case !gr.StartBy.Before(now):
 		return 2 + gr.Priority
@@ -163,11 +163,11 @@
 }
 
 func (wk *Worker) take(st spec.Step) {
-	wk.Free = wk.Free.Minus(st.Counted())
+	wk.Free = wk.Free.Minus(st.Reserved())
 	switch {
-	case st.Filling:
+	case st.BestEffort:
 		wk.Filling++
-	case st.Lasting:
+	case st.LongRunning:
 		wk.Serving++
 	}
 }
@@ -197,7 +197,7 @@
 
 // holds counts how many more tasks of a step fit.
 func (wk *Worker) holds(st spec.Step) int {
-	need, room, count := st.Counted(), wk.Free, 0
+	need, room, count := st.Reserved(), wk.Free, 0
 	for need.Fits(room) && count < st.Count {
 		room = room.Minus(need)
 		count++
@@ -216,7 +216,7 @@
 	if st.MaxPerWorker > 0 && on[wk.ID] >= st.MaxPerWorker {
 		return false
 	}
-	return st.Counted().Fits(wk.Free)
+	return st.Reserved().Fits(wk.Free)
 }
 
 // choose returns the best worker for a task, nil where there is none.
@@ -261,7 +261,7 @@
 // together keeps lasting tasks of one step apart, since a worker's maintenance
 // takes all of them away at once.
 func (gr Group) together(on map[weir.InstanceID]int, one, other *Worker) int {
-	if !gr.Spec.Lasting {
+	if !gr.Spec.LongRunning {
 		return 0
 	}
 	return cmp.Compare(on[one.ID], on[other.ID])
@@ -270,7 +270,7 @@
 // crowds reports whether one more task on a worker that holds some of its step
 // is one too many for the worker's maintenance.
 func (gr Group) crowds(held int) bool {
-	return gr.Spec.Lasting && gr.Spec.MaxAway > 0 && held >= gr.Spec.MaxAway
+	return gr.Spec.LongRunning && gr.Spec.MaxUnavailable > 0 && held >= gr.Spec.MaxUnavailable
 }
 
 // waits reports whether a task has not waited long for a better worker. A time
@@ -286,9 +286,9 @@
 // disturbance keeps tasks that fill away from tasks that serve.
 func (gr Group) disturbance(one, other *Worker) int {
 	switch {
-	case gr.Spec.Filling:
+	case gr.Spec.BestEffort:
 		return cmp.Compare(one.Serving, other.Serving)
-	case gr.Spec.Lasting:
+	case gr.Spec.LongRunning:
 		return cmp.Compare(one.Filling, other.Filling)
 	}
 	return 0
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"sync/atomic"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/standin/taskworker"
@@ -34,7 +34,7 @@
 const KindSilent Kind = "no answer"
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// oneWay is how long a message takes in each direction.
@@ -46,7 +46,7 @@
 	Name string
 	Pool weir.PoolName
 	Rack string
-	Room spec.Need
+	Room spec.Resources
 }
 
 // Fleet is a set of machines. Set the exported fields before use.
@@ -122,7 +122,7 @@
 	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.life))
 	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Room: mc.Room}
 	wk := store.Worker{
-		ID: mc.id, Born: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Room: mc.Room,
+		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Room,
 	}
 	fl.mu.Unlock()
 	fl.Announce(wk)
@@ -221,7 +221,7 @@
 }
 
 // Order implements weir.MachinePlatform.
-func (fl *Fleet) Order(_ context.Context, order weir.MachineOrder) (weir.MachineAnswer, error) {
+func (fl *Fleet) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
 	time.Sleep(2 * oneWay)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -17,10 +17,10 @@
 
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
-	"greengageweir/internal/job/owner"
-	"greengageweir/internal/job/service"
+	"greengageweir/internal/job/handler"
+	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/standin/fleet"
@@ -44,7 +44,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	// syncTime is how long the log takes for an entry: a sync here, the way to
@@ -116,7 +116,7 @@
 	Player
 	clock   clock.Wall
 	store   *store.Store
-	service *service.Service
+	service *handler.Handler
 	fleet   *fleet.Fleet
 	jobs    []planned
 	// lengths and needs are complete before anything runs.
@@ -167,31 +167,31 @@
 }
 
 // build makes the parts of the program that lead, and the fleet.
-func (sg *stage) build(ctx context.Context) []weir.Step {
-	com := &owner.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
+func (sg *stage) build(ctx context.Context) []weir.Component {
+	com := &scheduler.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
 	sg.fleet = &fleet.Fleet{
 		Clock: sg.clock, Task: sg.task, Announce: func(wk store.Worker) { sg.announce(ctx, wk) }, Standby: standby,
 		MoveTime: sg.Load.MoveTime, MaintenanceTime: 2 * time.Second,
 	}
-	own := &owner.Owner{
-		Store: sg.store, Committer: com, Lead: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
-		Lease: 3 * time.Second, Retention: time.Minute, OrderPause: 3500 * time.Millisecond,
+	own := &scheduler.Scheduler{
+		Store: sg.store, Committer: com, Leadership: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+		Lease: 3 * time.Second, Retention: time.Minute, MachineOrderDelay: 3500 * time.Millisecond,
 	}
 	if sg.Policy == PolicyOwner {
 		own.Machines = sg.fleet
 	}
 	sg.store.Clock = sg.clock
-	sg.store.Applied = own.Wake
-	sg.service = &service.Service{
-		Store: sg.store, Committer: com, Owner: own, Lead: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+	sg.store.OnApplied = own.Wake
+	sg.service = &handler.Handler{
+		Store: sg.store, Committer: com, Owner: own, Leader: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
-	return []weir.Step{com, own}
+	return []weir.Component{com, own}
 }
 
 // task tells what a run does, and notes when its job began.
 func (sg *stage) task(order weir.RunOrder) taskworker.Task {
 	sg.note(order.Task, sg.clock.Now())
-	out := taskworker.Task{Need: sg.needs[order.Task.Job][order.Task.Step].Counted(), Lasts: true}
+	out := taskworker.Task{Need: sg.needs[order.Task.Job][order.Task.Step].Reserved(), Lasts: true}
 	if pd, ok := sg.lengths[order.Task.Job]; ok {
 		out.Length, out.Lasts = pd.lengths[order.Task.Step][order.Task.Index], false
 	}
@@ -225,7 +225,7 @@
 		}
 		time.Sleep(announceEvery)
 	}
-	room := spec.Need{MilliCPU: int(sg.Load.Room * 1000), MemoryMB: 1 << 20}
+	room := spec.Resources{MilliCPU: int(sg.Load.Room * 1000), MemoryMB: 1 << 20}
 	number := 0
 	add := func(pool weir.PoolName, count int) {
 		for range count {
@@ -312,7 +312,7 @@
 // wave asks for maintenance of each machine that a share picks.
 func (sg *stage) wave(ctx context.Context, wv Wave) {
 	sleep(ctx, wv.At)
-	order := &store.Wave{Number: 1, AtOnce: wv.AtOnce, Deadline: sg.clock.Now().Add(wv.Within)}
+	order := &store.Wave{Number: 1, MaxParallel: wv.AtOnce, Deadline: sg.clock.Now().Add(wv.Within)}
 	for number := range sg.Load.machines() {
 		if picked(number, wv.Share) {
 			order.Machines = append(order.Machines, machineName(number))
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -8,9 +8,9 @@
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/command"
-	fleet "greengageweir/internal/fleet/machine"
+	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
@@ -108,7 +108,7 @@
 	cmd.At = ms.clk.Now()
 	data, err := cmd.Encode()
 	ms.check(err)
-	ans, _ := mc.Apply(index, data).(command.Answer)
+	ans, _ := mc.Apply(index, data).(command.Result)
 	if ans.Refusal != nil {
 		ms.check(&peer.Error{Op: ans.Refusal.Message, Kind: peer.KindRemote})
 	}
@@ -122,8 +122,8 @@
 	return list
 }
 
-func (ms *measurer) tableOf(size int) *place.Table {
-	tb := place.New(ms.clk, "zone-00")
+func (ms *measurer) tableOf(size int) *placement.Table {
+	tb := placement.New(ms.clk, "zone-00")
 	tb.SetView(ms.fleetOf(size, nil).View())
 	return tb
 }
--- a/internal/standin/slopes/measure_control.go
+++ b/internal/standin/slopes/measure_control.go
@@ -7,7 +7,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/fleet/command"
-	fleet "greengageweir/internal/fleet/machine"
+	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/maintenance/wave"
 )
@@ -44,7 +44,7 @@
 		const count = 5
 		return cpuMicros(count, func() {
 			for range count {
-				mc.Read(func(rd fleet.Reader) { wave.Next(rd, wave.Evidence{}, ms.clk.Now()) })
+				mc.Read(func(rd fleet.Reader) { wave.NextCommands(rd, wave.Observations{}, ms.clk.Now()) })
 			}
 		})
 	})
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -11,7 +11,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/place"
+	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/entry/serve"
 	"greengageweir/internal/standin/worker"
 )
@@ -19,7 +19,7 @@
 // serveAnnouncements starts the endpoints' server of an entry instance with a
 // fleet of a size, and a client of it.
 func (ms *measurer) serveAnnouncements(size int) (client *worker.Announcer, stop context.CancelFunc) {
-	an := &serve.Announcements{Addr: "127.0.0.1:0", Table: ms.tableOf(size)}
+	an := &serve.AnnouncementServer{Addr: "127.0.0.1:0", Table: ms.tableOf(size)}
 	ms.check(an.Default())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = an.Run(ctx) }()
@@ -59,7 +59,7 @@
 
 func (ms *measurer) entryHeap() Slope {
 	return series("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
-		tb, heap := heapBytes(func() *place.Table {
+		tb, heap := heapBytes(func() *placement.Table {
 			tb := ms.tableOf(size)
 			for ix := range size {
 				tb.Announce(announcementOf(ix))
@@ -93,8 +93,8 @@
 		key, err := ledger.NewKey("zone-00", now)
 		ms.check(err)
 		st.Reserve(now, peerapi.Reserve{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
-		st.Finish(peerapi.Finish{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Answer{
-			Kind: weir.Whole, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
+		st.Finish(peerapi.Finish{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Response{
+			Kind: weir.Complete, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
 		}})
 	}
 	return st
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -16,7 +16,7 @@
 func (ms *measurer) feed(listeners, effects int) (cpuEach, millisAll float64) {
 	hb := hub.New()
 	hb.View = func() view.View { return view.View{} }
-	sv := &peer.Server{Addr: "127.0.0.1:0", Token: "token-of-the-slopes", Gone: hb.Gone}
+	sv := &peer.Server{Addr: "127.0.0.1:0", Token: "token-of-the-slopes", OnDisconnect: hb.Unsubscribe}
 	sv.Handle = func(ctx context.Context, call peer.Call) (any, error) {
 		hb.Subscribe(context.WithoutCancel(ctx), call.Conn, 0)
 		return struct{}{}, nil
@@ -35,7 +35,7 @@
 			return nil, nil
 		}
 		go func() { _ = cl.Run(ctx) }()
-		for !cl.Ready() {
+		for !cl.Connected() {
 			time.Sleep(time.Millisecond)
 		}
 		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.Subscribe{}, nil))
@@ -44,7 +44,7 @@
 	begin := ms.clk.Now()
 	cpu := cpuMicros(effects*listeners, func() {
 		for ix := range effects {
-			hb.Publish(view.Effect{After: uint64(ix), Index: uint64(ix) + 1, Config: &delta})
+			hb.Publish(view.Effect{PrevIndex: uint64(ix), Index: uint64(ix) + 1, Config: &delta})
 			for got.Load() < int64((ix+1)*listeners) {
 				time.Sleep(20 * time.Microsecond)
 			}
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -38,7 +38,7 @@
 	Length time.Duration
 	// Lasts marks a task that does not end by itself.
 	Lasts bool
-	Need  spec.Need
+	Need  spec.Resources
 }
 
 // running is one run.
@@ -70,7 +70,7 @@
 	return (rn.worked(now) - rn.from).Seconds() * cores(rn.Need)
 }
 
-func cores(nd spec.Need) float64 { return float64(nd.MilliCPU) / 1000 }
+func cores(nd spec.Resources) float64 { return float64(nd.MilliCPU) / 1000 }
 
 // Usage is what a worker does and has done.
 type Usage struct {
@@ -91,7 +91,7 @@
 	// order's text. It must not block.
 	Task func(order weir.RunOrder) Task
 	// Room bounds what runs at a time; the zero value bounds nothing.
-	Room spec.Need
+	Room spec.Resources
 
 	mu     sync.Mutex
 	origin time.Time
@@ -124,13 +124,13 @@
 			wk.end(now, key, store.EndDone, "")
 			wk.done[key.Task]++
 		case now.After(wk.until):
-			wk.end(now, key, store.EndLapsed, "")
+			wk.end(now, key, store.EndLeaseExpired, "")
 		}
 	}
 	return now
 }
 
-func (wk *Worker) end(now time.Time, key weir.RunKey, how store.How, checkpoint string) {
+func (wk *Worker) end(now time.Time, key weir.RunKey, how store.EndReason, checkpoint string) {
 	wk.worked += wk.runs[key].coreSeconds(now)
 	delete(wk.runs, key)
 	wk.last[key.Task] = max(wk.last[key.Task], key.Run)
@@ -141,9 +141,9 @@
 }
 
 // admit checks whom an order is for and from; it runs with the lock held.
-func (wk *Worker) admit(life weir.WorkerLife, token uint64) weir.Refusal {
+func (wk *Worker) admit(life weir.WorkerIncarnation, token uint64) weir.Refusal {
 	if life.ID != wk.ID || life.Born != wk.Born {
-		return weir.RefusedLife
+		return weir.RefusedIncarnation
 	}
 	if token < wk.token {
 		return weir.RefusedFenced
@@ -159,10 +159,10 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, life weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
+	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
 	if ans.Refusal = wk.admit(life, order.Token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
@@ -170,9 +170,9 @@
 	switch {
 	case wk.runs[order.RunKey] != nil:
 	case order.Run <= wk.last[order.Task]:
-		ans.Refusal = weir.RefusedOld
+		ans.Refusal = weir.RefusedStale
 	case now.After(wk.origin.Add(order.Until)):
-		ans.Refusal = weir.RefusedLate
+		ans.Refusal = weir.RefusedLeaseExpired
 	default:
 		ans.Refusal = wk.begin(now, order)
 	}
@@ -184,16 +184,16 @@
 	if wk.Task != nil {
 		rn.Task = wk.Task(order)
 	}
-	if wk.Room != (spec.Need{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
-		return weir.RefusedRoom
+	if wk.Room != (spec.Resources{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
+		return weir.RefusedCapacity
 	}
 	wk.runs[order.RunKey] = rn
 	return weir.RefusedNone
 }
 
 // used is the room that runs take.
-func (wk *Worker) used() spec.Need {
-	var sum spec.Need
+func (wk *Worker) used() spec.Resources {
+	var sum spec.Resources
 	for _, rn := range wk.runs {
 		sum = sum.Plus(rn.Need)
 	}
@@ -246,10 +246,10 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wk *Worker) Stop(_ context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wk *Worker) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	ans := weir.OrderAnswer{Clock: now.Sub(wk.origin)}
+	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
 	if ans.Refusal = wk.admit(life, token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
@@ -260,15 +260,15 @@
 	return ans, nil
 }
 
-// Pace implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
-func (wk *Worker) Pace(_ context.Context, life weir.WorkerLife, _ weir.RunKey, _ int, token uint64) (weir.OrderAnswer, error) {
+// Throttle implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
+func (wk *Worker) Throttle(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
-	return weir.OrderAnswer{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
+	return weir.OrderResponse{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
 }
 
 // Renew implements weir.TaskWorkers.
-func (wk *Worker) Renew(ctx context.Context, life weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (wk *Worker) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	begin := wk.lock()
 	if wk.admit(life, order.Token) == weir.RefusedNone {
 		wk.extend(order.Until)
--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -18,7 +18,7 @@
 	"text/tabwriter"
 	"time"
 
-	"greengageweir/internal/fleet/machine"
+	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/standin/load"
 	"greengageweir/internal/standin/worker"
 
@@ -47,8 +47,8 @@
 	// Reasons counts why requests got no whole answer in the end.
 	Reasons map[string]int
 
-	Ran       machine.Totals
-	Reported  machine.Totals
+	Ran       fsm.UsageTotals
+	Reported  fsm.UsageTotals
 	HaveUsage bool
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Compare compares results and usage with what ran.
-func Compare(results []load.Result, runs []worker.Run, usage []machine.UsageLine) Report {
+func Compare(results []load.Result, runs []worker.Run, usage []fsm.UsageLine) Report {
 	rep := Report{Requests: len(results), HaveUsage: usage != nil, Reasons: map[string]int{}}
 	counts := map[string]int{}
 	for _, rn := range runs {
@@ -97,7 +97,7 @@
 	var firsts []time.Duration
 	for _, res := range results {
 		rep.addResult(res, counts)
-		if res.Outcome == weir.Whole && res.Tries == 1 {
+		if res.Outcome == weir.Complete && res.Tries == 1 {
 			firsts = append(firsts, res.FirstTook)
 		}
 	}
@@ -136,11 +136,11 @@
 	if res.Wrong {
 		rp.Wrong++
 	}
-	if res.Outcome != weir.Whole {
+	if res.Outcome != weir.Complete {
 		rp.Reasons[string(res.Outcome)+": "+res.Reason]++
 	}
 	switch res.Outcome {
-	case weir.Whole:
+	case weir.Complete:
 		rp.Whole++
 		if res.Key != "" && counts[res.Key] == 0 {
 			rp.Lost++
--- a/internal/standin/worker/announce.go
+++ b/internal/standin/worker/announce.go
@@ -54,13 +54,13 @@
 		wk.slots = ans.Slots
 	}
 	wk.usageEvery = time.Duration(ans.UsageMillis) * time.Millisecond
-	wk.settle(ann.Lease.Incarnation, ans.Settled)
+	wk.settle(ann.Lease.Incarnation, ans.AckedUsage)
 	if wk.seenView > ann.SeenView {
 		// Tell at once that a newer view was seen; a drain may wait for it.
 		return pollEvery
 	}
-	if ans.EveryMillis > 0 {
-		return time.Duration(ans.EveryMillis) * time.Millisecond
+	if ans.AnnounceMillis > 0 {
+		return time.Duration(ans.AnnounceMillis) * time.Millisecond
 	}
 	return defaultEvery
 }
@@ -109,8 +109,8 @@
 	wk.reports = kept
 }
 
-func (wk *Worker) post(ctx context.Context, entry string, ann endpoint.Announcement) (endpoint.Answer, error) {
-	var ans endpoint.Answer
+func (wk *Worker) post(ctx context.Context, entry string, ann endpoint.Announcement) (endpoint.AnnounceResponse, error) {
+	var ans endpoint.AnnounceResponse
 	body, err := json.Marshal(ann)
 	if err != nil {
 		return ans, err
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/fault"
+	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/state/replica"
 	"greengageweir/internal/state/wal"
 
@@ -41,7 +41,7 @@
 )
 
 // Error is the error type of this package.
-type Error = fault.Error[Kind]
+type Error = errkind.Error[Kind]
 
 const (
 	tickEvery        = 10 * time.Millisecond
@@ -54,8 +54,8 @@
 	defaultSnapshotEvery = 8192
 )
 
-// Machine is the state machine that committed commands are applied to.
-type Machine interface {
+// StateMachine is the state machine that committed commands are applied to.
+type StateMachine interface {
 	// Apply applies a command and returns its answer.
 	Apply(index uint64, data []byte) any
 	// Skip tells of an index that carries no command.
@@ -68,10 +68,10 @@
 
 // Node is one member. Set the exported fields before Run.
 type Node struct {
-	ID      string
-	Members []string
-	Dir     string
-	Machine Machine
+	ID           string
+	Members      []string
+	Dir          string
+	StateMachine StateMachine
 	// Send hands a message to the transport; it must not block.
 	Send          func(msg replica.Message)
 	Clock         weir.Clock
@@ -79,12 +79,12 @@
 	Heartbeat     time.Duration
 	Election      time.Duration
 	SnapshotEvery uint64
-	// Lazy is replica.Core's.
-	Lazy bool
+	// LazyPropagation is replica.Core's.
+	LazyPropagation bool
 
 	core      *replica.Core
 	disk      *wal.Log
-	hard      replica.Hard
+	hard      replica.HardState
 	inbox     chan replica.Message
 	proposals chan proposal
 	asks      chan func(now time.Time, core *replica.Core)
@@ -191,14 +191,14 @@
 	nd.hard = st.Hard
 	nd.lastSnap = st.Snapshot.Index
 	if st.Snapshot.Index > 0 {
-		if err := nd.Machine.Restore(st.Snapshot.Index, st.Snapshot.Data); err != nil {
+		if err := nd.StateMachine.Restore(st.Snapshot.Index, st.Snapshot.Data); err != nil {
 			return &Error{Op: "restore", Kind: KindStorage, Err: err}
 		}
 	}
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(nd.ID + st.Hard.Disk))
 	nd.core = &replica.Core{
-		ID: nd.ID, Members: nd.Members, Election: nd.Election, Heartbeat: nd.Heartbeat, Lazy: nd.Lazy,
+		ID: nd.ID, Members: nd.Members, Election: nd.Election, Heartbeat: nd.Heartbeat, LazyPropagation: nd.LazyPropagation,
 		Rand: rand.New(rand.NewSource(int64(seed.Sum64()))), //nolint:gosec // election jitter is no secret
 	}
 	nd.core.Restore(nd.Clock.Now(), st.Hard, st.Snapshot, st.Entries)
@@ -269,7 +269,7 @@
 			return err
 		}
 		nd.lastSnap = rd.Snapshot.Index
-		if err := nd.Machine.Restore(rd.Snapshot.Index, rd.Snapshot.Data); err != nil {
+		if err := nd.StateMachine.Restore(rd.Snapshot.Index, rd.Snapshot.Data); err != nil {
 			return &Error{Op: "restore", Kind: KindStorage, Err: err}
 		}
 	}
@@ -286,9 +286,9 @@
 	for _, ent := range entries {
 		var value any
 		if ent.Kind == replica.EntryCommand {
-			value = nd.Machine.Apply(ent.Index, ent.Data)
+			value = nd.StateMachine.Apply(ent.Index, ent.Data)
 		} else {
-			nd.Machine.Skip(ent.Index)
+			nd.StateMachine.Skip(ent.Index)
 		}
 		wt, ok := nd.waiters[ent.Index]
 		if !ok {
@@ -309,7 +309,7 @@
 	if applied-nd.lastSnap < nd.SnapshotEvery {
 		return nil
 	}
-	data, err := nd.Machine.Snapshot()
+	data, err := nd.StateMachine.Snapshot()
 	if err != nil {
 		return &Error{Op: "snapshot", Kind: KindStorage, Err: err}
 	}
@@ -327,7 +327,7 @@
 	index, term, err := nd.core.Propose(prop.data)
 	if err != nil {
 		kind := KindNotLeader
-		if fault.Is(err, replica.KindBacklog) {
+		if errkind.Is(err, replica.KindBacklog) {
 			kind = KindBusy
 		}
 		prop.reply <- result{err: &Error{Op: "propose", Kind: kind}}
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -47,7 +47,7 @@
 	var tk store.Task
 	var over bool
 	wd.st.Read(func(rd store.Reader) {
-		over = rd.Job("a").Phase.Over()
+		over = rd.Job("a").Phase.Terminal()
 		if found := rd.Job("a").Task(exploredTask); found != nil {
 			tk = *found
 		}
@@ -103,7 +103,7 @@
 
 func (wd *world) place(ix, run int, ft fate) {
 	key := weir.RunKey{Task: exploredTask, Run: run}
-	if wd.apply(store.Change{Start: &store.Start{Task: key.Task, Run: run, Worker: wd.workers[ix].id, Born: 1}}) {
+	if wd.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: wd.workers[ix].id, Incarnation: 1}}) {
 		wd.sessions[ix].Start(weir.RunOrder{RunKey: key})
 		wd.send(wd.sessions[ix], ft)
 	}
@@ -128,18 +128,18 @@
 func (wd *world) reconcile(ix int, ft fate, logWorks bool) {
 	ss, now := wd.sessions[ix], wd.clk.Now()
 	id := wd.workers[ix].id
-	if ss.Lapsed(now) {
-		wd.apply(store.Change{Leave: &store.Leave{ID: id, Born: 1}})
+	if ss.LeaseExpired(now) {
+		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Incarnation: 1}})
 		// It announces itself again, and gets a session of its own.
-		wd.apply(store.Change{Join: &store.Worker{ID: id, Born: 1, Address: string(id)}})
+		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
 		wd.reopen(ix)
 		return
 	}
-	var placed []Placed
+	var placed []PlacedRun
 	wd.st.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			js := rd.Job(key.Task.Job)
-			placed = append(placed, Placed{Key: key, Wanted: !js.Phase.Over() && !js.Task(key.Task).Done})
+			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Terminal() && !js.Task(key.Task).Done})
 		}
 	})
 	out := ss.Reconcile(now, placed)
@@ -148,9 +148,9 @@
 			for en := range out.Ends {
 				wd.apply(store.Change{End: &out.Ends[en]})
 			}
-			ss.Recorded(out.Number)
+			ss.EndsCommitted(out.Number)
 		} else {
-			ss.NotRecorded()
+			ss.EndsNotCommitted()
 		}
 	}
 	wd.send(ss, ft)
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -35,7 +35,7 @@
 		rn.dropped = true
 	}
 	ss.mu.Unlock()
-	ss.Changed()
+	ss.OnChange()
 }
 
 func (ss *Session) sendStart(ctx context.Context, order weir.RunOrder) {
@@ -53,12 +53,12 @@
 		ss.dropStart(order.RunKey)
 		return
 	}
-	if !ss.Leads.Leads() {
+	if !ss.Leadership.Leads() {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	ans, err := ss.Workers.Start(callCtx, ss.Life, order)
+	ans, err := ss.Workers.Start(callCtx, ss.Worker, order)
 	now := ss.Clock.Now()
 	metrics.GetOrCreateHistogram("weir_worker_start_seconds").Update(now.Sub(sentAt).Seconds())
 	ss.mu.Lock()
@@ -73,8 +73,8 @@
 	ss.mu.Unlock()
 	if err != nil || ans.Refusal != weir.RefusedNone {
 		_ = ss.Logger.Log("level", "warn", "msg", "start not confirmed", "job", order.Task.Job, "task", order.Task,
-			"run", order.RunKey.Run, "worker", ss.Life.ID, "refusal", string(ans.Refusal), "err", err)
-		ss.Changed()
+			"run", order.RunKey.Run, "worker", ss.Worker.ID, "refusal", string(ans.Refusal), "err", err)
+		ss.OnChange()
 	}
 }
 
@@ -86,12 +86,12 @@
 	}
 	rn.stopSent = now
 	ss.queue(func(ctx context.Context) {
-		if !ss.Leads.Leads() {
+		if !ss.Leadership.Leads() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		ans, err := ss.Workers.Stop(callCtx, ss.Life, key, ss.Token)
+		ans, err := ss.Workers.Stop(callCtx, ss.Worker, key, ss.Token)
 		if err == nil && ans.Refusal == weir.RefusedNone {
 			ss.mu.Lock()
 			rn.stopAcked = ss.Clock.Now()
@@ -103,21 +103,21 @@
 			return
 		}
 		_ = ss.Logger.Log("level", "warn", "msg", "stop not confirmed", "job", key.Task.Job, "task", key.Task,
-			"run", key.Run, "worker", ss.Life.ID, "refusal", string(ans.Refusal), "err", err)
+			"run", key.Run, "worker", ss.Worker.ID, "refusal", string(ans.Refusal), "err", err)
 	})
 }
 
-// Pace orders the share at which a run works.
-func (ss *Session) Pace(key weir.RunKey, percent int) {
+// Throttle orders the share at which a run works.
+func (ss *Session) Throttle(key weir.RunKey, percent int) {
 	ss.queue(func(ctx context.Context) {
-		if !ss.Leads.Leads() {
+		if !ss.Leadership.Leads() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		if _, err := ss.Workers.Pace(callCtx, ss.Life, key, percent, ss.Token); err != nil {
+		if _, err := ss.Workers.Throttle(callCtx, ss.Worker, key, percent, ss.Token); err != nil {
 			_ = ss.Logger.Log("level", "warn", "msg", "pace not confirmed", "task", key.Task, "run", key.Run,
-				"worker", ss.Life.ID, "percent", percent, "err", err)
+				"worker", ss.Worker.ID, "percent", percent, "err", err)
 		}
 	})
 }
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -85,17 +85,17 @@
 
 // Session deals with one life of a worker. Set the exported fields before Run.
 type Session struct {
-	Life    weir.WorkerLife
-	Token   uint64
-	Lease   time.Duration
-	Workers weir.TaskWorkers
-	Leads   weir.Authority
-	Clock   weir.Clock
-	Logger  log.Logger
-	// LapsesBy is when a lease that an earlier leader gave has surely lapsed.
-	LapsesBy time.Time
-	// Changed tells the owner that there is something to reconcile.
-	Changed func()
+	Worker     weir.WorkerIncarnation
+	Token      uint64
+	Lease      time.Duration
+	Workers    weir.TaskWorkers
+	Leadership weir.Leadership
+	Clock      weir.Clock
+	Logger     log.Logger
+	// PriorLeaseExpiry is when a lease that an earlier leader gave has surely lapsed.
+	PriorLeaseExpiry time.Time
+	// OnChange tells the owner that there is something to reconcile.
+	OnChange func()
 
 	mu       sync.Mutex
 	runs     map[weir.RunKey]*run
@@ -117,7 +117,7 @@
 }
 
 // String is the step's name in logs.
-func (ss *Session) String() string { return "session with " + string(ss.Life.ID) }
+func (ss *Session) String() string { return "session with " + string(ss.Worker.ID) }
 
 // Default prepares the session.
 func (ss *Session) Default() error {
@@ -127,7 +127,7 @@
 	ss.runs = map[weir.RunKey]*run{}
 	ss.wake = make(chan struct{}, 1)
 	ss.orders = make(chan func(ctx context.Context), orderSlots)
-	ss.lapsesBy = ss.LapsesBy
+	ss.lapsesBy = ss.PriorLeaseExpiry
 	return nil
 }
 
@@ -166,9 +166,9 @@
 	return until
 }
 
-// Recorded tells that the ends handed out by Reconcile are committed, those
+// EndsCommitted tells that the ends handed out by Reconcile are committed, those
 // that the worker listed up to a number.
-func (ss *Session) Recorded(number int64) {
+func (ss *Session) EndsCommitted(number int64) {
 	ss.mu.Lock()
 	ss.recording = false
 	ss.recorded = max(ss.recorded, number)
@@ -182,9 +182,9 @@
 	}
 }
 
-// NotRecorded tells that ends handed out by Reconcile were not committed; the
+// EndsNotCommitted tells that ends handed out by Reconcile were not committed; the
 // next call hands them out again.
-func (ss *Session) NotRecorded() {
+func (ss *Session) EndsNotCommitted() {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	ss.recording = false
@@ -197,16 +197,16 @@
 	return !ss.basisSent.IsZero() && ss.failingAt.IsZero() && !ss.otherLife
 }
 
-// Failing reports whether the worker does not answer.
-func (ss *Session) Failing() bool {
+// Unreachable reports whether the worker does not answer.
+func (ss *Session) Unreachable() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return !ss.failingAt.IsZero()
 }
 
-// Lapsed reports whether the worker does not answer and every lease that it
+// LeaseExpired reports whether the worker does not answer and every lease that it
 // was given has surely lapsed, so that nothing runs there any more.
-func (ss *Session) Lapsed(now time.Time) bool {
+func (ss *Session) LeaseExpired(now time.Time) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return !ss.failingAt.IsZero() && now.After(ss.lapsesBy)
@@ -223,16 +223,16 @@
 	return ss.last.recvAt, running
 }
 
-// AtWork reports whether the worker answers and lists a lasting task at full
+// AtFullSpeed reports whether the worker answers and lists a lasting task at full
 // work.
-func (ss *Session) AtWork(key weir.RunKey) bool {
+func (ss *Session) AtFullSpeed(key weir.RunKey) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return ss.failingAt.IsZero() && ss.last.running[key].Percent >= fullWork
 }
 
-// Placed is one run that the state holds to be at the worker.
-type Placed struct {
+// PlacedRun is one run that the state holds to be at the worker.
+type PlacedRun struct {
 	Key weir.RunKey
 	// Wanted is false where the run is to be stopped.
 	Wanted bool
@@ -240,7 +240,7 @@
 
 // Outcome is what Reconcile found to be recorded.
 type Outcome struct {
-	Ends []store.End
+	Ends []store.RunEnd
 	// Number is the last listed end among them; it goes to Recorded once the
 	// ends are committed.
 	Number int64
@@ -251,7 +251,7 @@
 // Reconcile compares what the state holds to be at the worker with what the
 // worker said. It returns ends to be committed and sends stops. It returns no
 // more ends until Recorded or NotRecorded has told what became of them.
-func (ss *Session) Reconcile(now time.Time, placed []Placed) Outcome {
+func (ss *Session) Reconcile(now time.Time, placed []PlacedRun) Outcome {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	out := Outcome{}
@@ -261,7 +261,7 @@
 		if ss.recording {
 			continue
 		}
-		out.Ends = append(out.Ends, store.End{Task: en.Task, Run: en.Run, How: store.How(en.How), Checkpoint: en.Checkpoint})
+		out.Ends = append(out.Ends, store.RunEnd{Task: en.Task, Run: en.Run, Reason: store.EndReason(en.How), Checkpoint: en.Checkpoint})
 		out.Number = en.Number
 	}
 	current := make(map[weir.RunKey]bool, len(placed))
@@ -282,7 +282,7 @@
 }
 
 // reconcileRun decides on one run; see decide for the rules.
-func (ss *Session) reconcileRun(now time.Time, pl Placed, out *Outcome) {
+func (ss *Session) reconcileRun(now time.Time, pl PlacedRun, out *Outcome) {
 	rn := ss.runs[pl.Key]
 	if rn == nil {
 		rn = &run{}
@@ -296,13 +296,13 @@
 	}
 	switch vd {
 	case verdictRefused:
-		out.Ends = append(out.Ends, store.End{Task: pl.Key.Task, Run: pl.Key.Run, How: store.EndRefused})
+		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndRefused})
 		if out.Refused == nil {
 			out.Refused = map[weir.RunKey]weir.Refusal{}
 		}
 		out.Refused[pl.Key] = rn.refusal
 	case verdictLost:
-		out.Ends = append(out.Ends, store.End{Task: pl.Key.Task, Run: pl.Key.Run, How: store.EndLost})
+		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndLost})
 	case verdictStop:
 		ss.stop(now, pl.Key, rn)
 	case verdictWait:
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -34,7 +34,7 @@
 
 func (fw *fakeWorker) clock() time.Duration { return fw.clk.Now().Sub(time.Unix(0, 0)) }
 
-func (fw *fakeWorker) Renew(_ context.Context, _ weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (fw *fakeWorker) Renew(_ context.Context, _ weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	// An order without an answer may still be carried out.
@@ -48,18 +48,18 @@
 	return rep, nil
 }
 
-func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.starts = append(fw.starts, order.RunKey)
-	return weir.OrderAnswer{Clock: fw.clock()}, nil
+	return weir.OrderResponse{Clock: fw.clock()}, nil
 }
 
-func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerLife, key weir.RunKey, _ uint64) (weir.OrderAnswer, error) {
+func (fw *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.stops = append(fw.stops, key)
-	return weir.OrderAnswer{Clock: fw.clock()}, nil
+	return weir.OrderResponse{Clock: fw.clock()}, nil
 }
 
 type always struct{}
@@ -70,8 +70,8 @@
 	clk := clock.NewManual(time.Unix(100, 0))
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
-		Life: weir.WorkerLife{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leads: always{},
-		Clock: clk, Changed: func() {},
+		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: always{},
+		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
 	return ss, fw
@@ -86,11 +86,11 @@
 	for range 100 {
 		fw.clk.Advance(100 * time.Millisecond)
 		ss.renew(ctx)
-		if ss.Lapsed(fw.clk.Now()) {
+		if ss.LeaseExpired(fw.clk.Now()) {
 			break
 		}
 	}
-	require.True(t, ss.Lapsed(fw.clk.Now()), "renewals that are not answered must not put it off for ever")
+	require.True(t, ss.LeaseExpired(fw.clk.Now()), "renewals that are not answered must not put it off for ever")
 	slow := fw.answered + time.Duration(float64(fw.clock()-fw.answered)*clockSlack)
 	require.Greater(t, slow, fw.until, "also on a clock that is 2 % slow the lease is over")
 }
@@ -100,7 +100,7 @@
 	for range 100 {
 		ss.renew(context.Background())
 		fw.clk.Advance(time.Second)
-		require.False(t, ss.Lapsed(fw.clk.Now()))
+		require.False(t, ss.LeaseExpired(fw.clk.Now()))
 	}
 }
 
@@ -110,13 +110,13 @@
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, How: string(store.EndDone)}}
 	require.True(t, ss.takeReport(fw.clk.Now(), fw.reports))
-	placed := []Placed{{Key: key, Wanted: true}}
+	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	out := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, out.Ends, 1)
-	ss.Recorded(out.Number)
+	ss.EndsCommitted(out.Number)
 	require.False(t, ss.takeReport(fw.clk.Now(), fw.reports), "listed again, known already")
 	ss.renew(ctx)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), nil).Ends)
@@ -130,15 +130,15 @@
 	end := func(ix int) weir.RunEnd {
 		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), How: string(store.EndDone)}
 	}
-	placed := []Placed{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
+	placed := []PlacedRun{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
 	first := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, first.Ends, 1)
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1), end(2)}})
 	second := ss.Reconcile(fw.clk.Now(), placed)
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	if len(second.Ends) > 0 {
-		ss.Recorded(second.Number)
+		ss.EndsCommitted(second.Number)
 	}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 2, "both are still to be recorded")
 }
@@ -150,7 +150,7 @@
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	ss.Start(weir.RunOrder{RunKey: key})
-	ss.Reconcile(fw.clk.Now(), []Placed{{Key: key}})
+	ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
 	for len(ss.orders) > 0 {
 		(<-ss.orders)(context.Background())
 	}
@@ -160,10 +160,10 @@
 // TestVerdictIsHandedOutOnce keeps a slow log from being flooded.
 func TestVerdictIsHandedOutOnce(t *testing.T) {
 	ss, fw, key := cancelledStart(t)
-	placed := []Placed{{Key: key}}
+	placed := []PlacedRun{{Key: key}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
-	ss.NotRecorded()
+	ss.EndsNotCommitted()
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 }
 
@@ -180,8 +180,8 @@
 func TestStartOfACancelledRunIsNotSent(t *testing.T) {
 	ss, fw, key := cancelledStart(t)
 	require.Empty(t, fw.starts)
-	out := ss.Reconcile(fw.clk.Now(), []Placed{{Key: key}})
-	require.Equal(t, []store.End{{Task: key.Task, Run: 1, How: store.EndRefused}}, out.Ends)
+	out := ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
+	require.Equal(t, []store.RunEnd{{Task: key.Task, Run: 1, Reason: store.EndRefused}}, out.Ends)
 }
 
 // TestAnswersThatOvertakeEachOther plays a look that was asked for after a
@@ -199,11 +199,11 @@
 	fw.clk.Advance(10 * time.Millisecond)
 	ss.takeReport(renewalSent, weir.WorkerReport{Running: []weir.RunningTask{{RunKey: key}}})
 	ss.takeReport(lookSent, weir.WorkerReport{})
-	out := ss.Reconcile(fw.clk.Now(), []Placed{{Key: key, Wanted: true}})
+	out := ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
 	require.Empty(t, out.Ends, "the run is there")
 	require.Empty(t, ss.orders, "and is not stopped")
 	fw.clk.Advance(10 * time.Millisecond)
 	ss.takeReport(fw.clk.Now(), weir.WorkerReport{})
-	out = ss.Reconcile(fw.clk.Now(), []Placed{{Key: key, Wanted: true}})
+	out = ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
 	require.Len(t, out.Ends, 1, "a report asked for later shows that it is over")
 }
--- a/internal/task/session/world_test.go
+++ b/internal/task/session/world_test.go
@@ -58,11 +58,11 @@
 	}
 	mw.stale = mw.number
 	for key := range mw.runs {
-		mw.end(key, store.EndLapsed)
+		mw.end(key, store.EndLeaseExpired)
 	}
 }
 
-func (mw *modelWorker) end(key weir.RunKey, how store.How) {
+func (mw *modelWorker) end(key weir.RunKey, how store.EndReason) {
 	delete(mw.runs, key)
 	mw.last[key.Task] = max(mw.last[key.Task], key.Run)
 	mw.number++
@@ -94,7 +94,7 @@
 			id: id, rate: 1 - 0.02*float64(ix), origin: wd.clk.Now().Add(-time.Hour), runs: map[weir.RunKey]bool{}, last: map[weir.TaskRef]int{},
 		}
 		wd.workers = append(wd.workers, mw)
-		wd.apply(store.Change{Join: &store.Worker{ID: id, Born: 1, Address: string(id)}})
+		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
 	}
 	wd.apply(store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}})
 	wd.lead()
@@ -105,9 +105,9 @@
 	data, err := store.Entry{At: wd.clk.Now(), Changes: []store.Change{ch}}.Encode()
 	require.NoError(wd.t, err)
 	wd.index++
-	answers, ok := wd.st.Apply(wd.index, data).([]store.Answer)
+	answers, ok := wd.st.Apply(wd.index, data).([]store.Result)
 	require.True(wd.t, ok)
-	return answers[0].Taken
+	return answers[0].Applied
 }
 
 // lead opens the sessions of a new leader. Orders of the last one that are on
@@ -116,8 +116,8 @@
 	wd.sessions = nil
 	for _, mw := range wd.workers {
 		ss := &Session{
-			Life: weir.WorkerLife{ID: mw.id, Born: 1}, Token: wd.term, Lease: exploreLease, Workers: wd, Leads: always{}, Clock: wd.clk,
-			Logger: log.NewNopLogger(), Changed: func() {}, LapsesBy: wd.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
+			Worker: weir.WorkerIncarnation{ID: mw.id, Born: 1}, Token: wd.term, Lease: exploreLease, Workers: wd, Leadership: always{}, Clock: wd.clk,
+			Logger: log.NewNopLogger(), OnChange: func() {}, PriorLeaseExpiry: wd.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
 		}
 		require.NoError(wd.t, ss.Default())
 		wd.sessions = append(wd.sessions, ss)
@@ -127,7 +127,7 @@
 var errSilent = errors.New("no answer")
 
 // carry lets an order meet its fate; do is what the worker does.
-func (wd *world) carry(do func() weir.OrderAnswer) (weir.OrderAnswer, error) {
+func (wd *world) carry(do func() weir.OrderResponse) (weir.OrderResponse, error) {
 	switch wd.next {
 	case fateAnswered:
 		return do(), nil
@@ -137,10 +137,10 @@
 		wd.delayed = append(wd.delayed, func() { do() })
 	case fateLost:
 	}
-	return weir.OrderAnswer{}, errSilent
+	return weir.OrderResponse{}, errSilent
 }
 
-func (wd *world) worker(life weir.WorkerLife) *modelWorker {
+func (wd *world) worker(life weir.WorkerIncarnation) *modelWorker {
 	for _, mw := range wd.workers {
 		if mw.id == life.ID {
 			return mw
@@ -150,21 +150,21 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wd *world) Start(_ context.Context, life weir.WorkerLife, order weir.RunOrder) (weir.OrderAnswer, error) {
+func (wd *world) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
 	mw := wd.worker(life)
-	return wd.carry(func() weir.OrderAnswer {
+	return wd.carry(func() weir.OrderResponse {
 		now := wd.clk.Now()
 		mw.pass(now)
-		ans := weir.OrderAnswer{Clock: mw.clock(now)}
+		ans := weir.OrderResponse{Clock: mw.clock(now)}
 		switch {
 		case order.Token < mw.token:
 			ans.Refusal = weir.RefusedFenced
 			return ans
 		case mw.runs[order.RunKey]:
 		case order.Run <= mw.last[order.Task]:
-			ans.Refusal = weir.RefusedOld
+			ans.Refusal = weir.RefusedStale
 		case order.Until < mw.clock(now):
-			ans.Refusal = weir.RefusedLate
+			ans.Refusal = weir.RefusedLeaseExpired
 		default:
 			wd.begins(mw, order.RunKey)
 			mw.runs[order.RunKey] = true
@@ -184,30 +184,30 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wd *world) Stop(_ context.Context, life weir.WorkerLife, key weir.RunKey, token uint64) (weir.OrderAnswer, error) {
+func (wd *world) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
 	mw := wd.worker(life)
-	return wd.carry(func() weir.OrderAnswer {
+	return wd.carry(func() weir.OrderResponse {
 		now := wd.clk.Now()
 		mw.pass(now)
 		if token < mw.token {
-			return weir.OrderAnswer{Clock: mw.clock(now), Refusal: weir.RefusedFenced}
+			return weir.OrderResponse{Clock: mw.clock(now), Refusal: weir.RefusedFenced}
 		}
 		mw.token = token
 		if mw.runs[key] {
 			mw.end(key, store.EndStopped)
 		}
 		mw.last[key.Task] = max(mw.last[key.Task], key.Run)
-		return weir.OrderAnswer{Clock: mw.clock(now)}
+		return weir.OrderResponse{Clock: mw.clock(now)}
 	})
 }
 
 // Renew implements weir.TaskWorkers.
-func (wd *world) Renew(_ context.Context, life weir.WorkerLife, order weir.RenewOrder) (weir.WorkerReport, error) {
+func (wd *world) Renew(_ context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	mw := wd.worker(life)
 	var rep weir.WorkerReport
-	_, err := wd.carry(func() weir.OrderAnswer {
+	_, err := wd.carry(func() weir.OrderResponse {
 		rep = mw.renew(wd, order)
-		return weir.OrderAnswer{}
+		return weir.OrderResponse{}
 	})
 	return rep, err
 }
@@ -242,9 +242,9 @@
 	})
 }
 
-// Pace implements weir.TaskWorkers.
-func (*world) Pace(context.Context, weir.WorkerLife, weir.RunKey, int, uint64) (weir.OrderAnswer, error) {
-	return weir.OrderAnswer{}, errSilent
+// Throttle implements weir.TaskWorkers.
+func (*world) Throttle(context.Context, weir.WorkerIncarnation, weir.RunKey, int, uint64) (weir.OrderResponse, error) {
+	return weir.OrderResponse{}, errSilent
 }
 
 // Forget implements weir.TaskWorkers.
--- a/task.go
+++ b/task.go
@@ -29,8 +29,8 @@
 	Run  int
 }
 
-// WorkerLife is one life of a worker, and where to reach it.
-type WorkerLife struct {
+// WorkerIncarnation is one life of a worker, and where to reach it.
+type WorkerIncarnation struct {
 	ID      InstanceID
 	Born    int64
 	Address string
@@ -61,18 +61,18 @@
 	RefusedNone Refusal = ""
 	// RefusedFenced says that a later leader has been at the worker.
 	RefusedFenced Refusal = "fenced"
-	// RefusedOld says that this or a later run was stopped or has ended there.
-	RefusedOld Refusal = "old run"
-	// RefusedLate says that the lease had passed on arrival.
-	RefusedLate Refusal = "late"
-	// RefusedRoom says that the worker has no room.
-	RefusedRoom Refusal = "no room"
+	// RefusedStale says that this or a later run was stopped or has ended there.
+	RefusedStale Refusal = "old run"
+	// RefusedLeaseExpired says that the lease had passed on arrival.
+	RefusedLeaseExpired Refusal = "late"
+	// RefusedCapacity says that the worker has no room.
+	RefusedCapacity Refusal = "no room"
 	// RefusedTicket says that the adviser's permission is missing or expired.
 	RefusedTicket Refusal = "no ticket"
-	// RefusedUnwell says that the worker is not healthy.
-	RefusedUnwell Refusal = "not healthy"
-	// RefusedLife says that another life of the worker answered.
-	RefusedLife Refusal = "another life"
+	// RefusedUnhealthy says that the worker is not healthy.
+	RefusedUnhealthy Refusal = "not healthy"
+	// RefusedIncarnation says that another life of the worker answered.
+	RefusedIncarnation Refusal = "another life"
 	// RefusedInvalid says that the worker cannot read the order.
 	RefusedInvalid Refusal = "invalid"
 )
@@ -121,8 +121,8 @@
 	Wait time.Duration
 }
 
-// OrderAnswer is a worker's answer to an order.
-type OrderAnswer struct {
+// OrderResponse is a worker's answer to an order.
+type OrderResponse struct {
 	Refusal Refusal
 	Clock   time.Duration
 }
@@ -130,18 +130,18 @@
 // TaskWorkers sends orders to workers. An error means that the order may have
 // been carried out, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, life WorkerLife, order RunOrder) (OrderAnswer, error)
-	Stop(ctx context.Context, life WorkerLife, key RunKey, token uint64) (OrderAnswer, error)
-	Renew(ctx context.Context, life WorkerLife, order RenewOrder) (WorkerReport, error)
-	// Pace lets a run work at a share of its speed, from 0 to 100 percent.
-	Pace(ctx context.Context, life WorkerLife, key RunKey, percent int, token uint64) (OrderAnswer, error)
+	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderResponse, error)
+	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
+	Renew(ctx context.Context, life WorkerIncarnation, order RenewOrder) (WorkerReport, error)
+	// Throttle lets a run work at a share of its speed, from 0 to 100 percent.
+	Throttle(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
 	// Forget closes the connections to an address that is no longer used.
 	Forget(address string)
 }
 
-// Authority tells whether orders may be given at a moment: whether this
+// Leadership tells whether orders may be given at a moment: whether this
 // process still leads for sure.
-type Authority interface {
+type Leadership interface {
 	Leads() bool
 }
 
@@ -165,19 +165,19 @@
 	Worker InstanceID
 }
 
-// MachineAnswer is the platform's answer to an order.
-type MachineAnswer string
+// MachineResponse is the platform's answer to an order.
+type MachineResponse string
 
 // The answers.
 const (
 	// MachineAccepted says that the operation has begun, or has been done.
-	MachineAccepted MachineAnswer = "accepted"
+	MachineAccepted MachineResponse = "accepted"
 	// MachineBusy says that the machine is not up.
-	MachineBusy MachineAnswer = "busy"
+	MachineBusy MachineResponse = "busy"
 	// MachineRefused says that the order can never be carried out.
-	MachineRefused MachineAnswer = "refused"
+	MachineRefused MachineResponse = "refused"
 	// MachineThrottled says that too many orders came at once.
-	MachineThrottled MachineAnswer = "throttled"
+	MachineThrottled MachineResponse = "throttled"
 )
 
 // MachineOrder names who orders, for one operation on one machine.
@@ -194,7 +194,7 @@
 // been carried out.
 type MachinePlatform interface {
 	Machines(ctx context.Context) ([]Machine, error)
-	Order(ctx context.Context, order MachineOrder) (MachineAnswer, error)
+	Order(ctx context.Context, order MachineOrder) (MachineResponse, error)
 }
 
 // Advice names the workers that may run a step, with the ticket that each
--- a/weir.go
+++ b/weir.go
@@ -45,8 +45,8 @@
 
 // The three kinds of answer; there is no fourth.
 const (
-	// Whole is the endpoint's complete answer.
-	Whole OutcomeKind = "whole"
+	// Complete is the endpoint's complete answer.
+	Complete OutcomeKind = "whole"
 	// NotRun says that the request certainly did not run and may be sent again.
 	NotRun OutcomeKind = "notRun"
 	// Unknown says that the request may have run. Asking again with the same
@@ -70,8 +70,8 @@
 	Deadline time.Time `json:"deadline"`
 }
 
-// Answer is the outcome of one request.
-type Answer struct {
+// Response is the outcome of one request.
+type Response struct {
 	Kind        OutcomeKind `json:"kind"`
 	Reason      string      `json:"reason,omitempty"`
 	Status      int         `json:"status,omitempty"`
@@ -79,19 +79,19 @@
 	Body        []byte      `json:"body,omitempty"`
 }
 
-// AnswerNotRun returns an answer that says the request did not run.
-func AnswerNotRun(reason string) Answer { return Answer{Kind: NotRun, Reason: reason} }
+// NotRunResponse returns an answer that says the request did not run.
+func NotRunResponse(reason string) Response { return Response{Kind: NotRun, Reason: reason} }
 
-// AnswerUnknown returns an answer that says the request may have run.
-func AnswerUnknown(reason string) Answer { return Answer{Kind: Unknown, Reason: reason} }
+// UnknownResponse returns an answer that says the request may have run.
+func UnknownResponse(reason string) Response { return Response{Kind: Unknown, Reason: reason} }
 
 // Dispatcher turns a request into exactly one answer.
 type Dispatcher interface {
-	Do(ctx context.Context, req Request) Answer
+	Do(ctx context.Context, req Request) Response
 }
 
-// Step is one long-running part of a process.
-type Step interface {
+// Component is one long-running part of a process.
+type Component interface {
 	// String is the step's name in logs.
 	String() string
 	// Default fills unset settings and checks all of them.
