--- a/internal/capacity/balance/balance.go
+++ b/internal/capacity/balance/balance.go
@@ -22,28 +22,28 @@
 
 // Load is what a pool's queues ask for, in thousandths of a core.
 type Load struct {
-	// Lasting and Busy are taken by lasting tasks and by others.
-	Lasting int
-	Busy    int
+	// LongRunning and Busy are taken by lasting tasks and by others.
+	LongRunning int
+	Busy        int
 	// Waiting is what tasks that could start now still lack.
 	Waiting int
-	// Rate is the work that arrived lately, in thousandths of a core: the work
+	// ArrivalRate is the work that arrived lately, in thousandths of a core: the work
 	// of the jobs of the last Window, divided by it.
-	Rate int
-	// PerMachine is what one machine holds.
-	PerMachine int
-	// Spread is the number of machines that lasting tasks need so as not to
+	ArrivalRate int
+	// MachineCapacity is what one machine holds.
+	MachineCapacity int
+	// MinMachines is the number of machines that lasting tasks need so as not to
 	// share one.
-	Spread int
+	MinMachines int
 }
 
 const (
-	// Window is how far back arriving work is counted: long enough for some
+	// ArrivalWindow is how far back arriving work is counted: long enough for some
 	// jobs of a rising queue, short against the time that a move takes.
-	Window = 400 * time.Millisecond
-	// Hold is how long a pool keeps what it needed last before machines stand
+	ArrivalWindow = 400 * time.Millisecond
+	// ReleaseHold is how long a pool keeps what it needed last before machines stand
 	// by. Two moves cost about as much as a machine for two to three seconds.
-	Hold = 2 * time.Second
+	ReleaseHold = 2 * time.Second
 	// LendHold is the same for machines that another pool needs now: long
 	// enough to bridge the gap between two jobs.
 	LendHold = 500 * time.Millisecond
@@ -54,39 +54,39 @@
 	headroom = 1.15
 )
 
-// Need returns how many machines a pool wants.
-func Need(ld Load) int {
+// MachinesNeeded returns how many machines a pool wants.
+func MachinesNeeded(ld Load) int {
 	floor := 1
-	if ld.Spread > 0 {
-		floor = ld.Spread + spareSpread
+	if ld.MinMachines > 0 {
+		floor = ld.MinMachines + spareSpread
 	}
-	if ld.PerMachine <= 0 {
+	if ld.MachineCapacity <= 0 {
 		return floor
 	}
-	load := float64(ld.Lasting) + headroom*float64(max(ld.Busy+ld.Waiting, ld.Rate))
-	return max(floor, int((load+float64(ld.PerMachine)-1)/float64(ld.PerMachine)))
+	load := float64(ld.LongRunning) + headroom*float64(max(ld.Busy+ld.Waiting, ld.ArrivalRate))
+	return max(floor, int((load+float64(ld.MachineCapacity)-1)/float64(ld.MachineCapacity)))
 }
 
 // Pool is what a pool wants.
 type Pool struct {
 	Name    weir.PoolName
 	Standby bool
-	// Want is the number of machines that it needs now; Lend and Keep are the
+	// Desired is the number of machines that it needs now; Lend and Keep are the
 	// most that it needed within LendHold and Hold.
-	Want int
-	Lend int
-	Keep int
+	Desired      int
+	LendFloor    int
+	ReleaseFloor int
 }
 
 // Machine is where a machine is.
 type Machine struct {
 	Name string
 	Pool weir.PoolName
-	// Free says that it may be ordered about: it is up, its platform does
+	// Movable says that it may be ordered about: it is up, its platform does
 	// nothing with it, and no lasting task runs there.
-	Free bool
-	// Work counts the runs that would be lost with it.
-	Work int
+	Movable bool
+	// Runs counts the runs that would be lost with it.
+	Runs int
 }
 
 // Move sends a machine to another pool.
@@ -98,8 +98,8 @@
 // Decision is what should happen now.
 type Decision struct {
 	Moves []Move
-	// Leaving machines should get no new tasks, as they go once they are idle.
-	Leaving []string
+	// Draining machines should get no new tasks, as they go once they are idle.
+	Draining []string
 }
 
 type balancer struct {
@@ -118,7 +118,7 @@
 	}
 	for _, list := range ba.byPool {
 		slices.SortFunc(list, func(one, other Machine) int {
-			return cmp.Or(cmp.Compare(one.Work, other.Work), cmp.Compare(one.Name, other.Name))
+			return cmp.Or(cmp.Compare(one.Runs, other.Runs), cmp.Compare(one.Name, other.Name))
 		})
 	}
 	lack := 0
@@ -141,7 +141,7 @@
 func (ba *balancer) mostNeedy() (best, lack int) {
 	best = -1
 	for ix, po := range ba.pools {
-		if short := po.Want - len(ba.byPool[po.Name]); !po.Standby && short > lack {
+		if short := po.Desired - len(ba.byPool[po.Name]); !po.Standby && short > lack {
 			best, lack = ix, short
 		}
 	}
@@ -154,7 +154,7 @@
 	for lack > 0 {
 		donor, most := -1, 0
 		for ix, po := range ba.pools {
-			if spare := len(ba.byPool[po.Name]) - po.Lend; spare > most && ba.busy(po.Name) >= 0 {
+			if spare := len(ba.byPool[po.Name]) - po.LendFloor; spare > most && ba.busy(po.Name) >= 0 {
 				donor, most = ix, spare
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 		pool := ba.pools[donor].Name
 		at := ba.busy(pool)
-		ba.decision.Leaving = append(ba.decision.Leaving, ba.byPool[pool][at].Name)
+		ba.decision.Draining = append(ba.decision.Draining, ba.byPool[pool][at].Name)
 		ba.byPool[pool] = slices.Delete(ba.byPool[pool], at, at+1)
 		lack--
 	}
@@ -171,7 +171,7 @@
 
 // busy returns the least busy machine of a pool that could go, or -1.
 func (ba *balancer) busy(pool weir.PoolName) int {
-	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Free && mc.Work > 0 })
+	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs > 0 })
 }
 
 // supply sends one machine to a pool; it reports false where none can go.
@@ -181,7 +181,7 @@
 		if po.Name == to || ba.idle(po.Name) < 0 {
 			continue
 		}
-		spare := len(ba.byPool[po.Name]) - po.Lend
+		spare := len(ba.byPool[po.Name]) - po.LendFloor
 		if po.Standby {
 			spare = min(spare, 1) // after all others
 		}
@@ -198,14 +198,14 @@
 
 // idle returns a machine of a pool that loses nothing by going, or -1.
 func (ba *balancer) idle(pool weir.PoolName) int {
-	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Free && mc.Work == 0 })
+	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs == 0 })
 }
 
 func (ba *balancer) move(from weir.PoolName, at int, to weir.PoolName) {
 	mc := ba.byPool[from][at]
 	ba.byPool[from] = slices.Delete(ba.byPool[from], at, at+1)
 	// On its way it counts for the pool, but cannot be sent on.
-	mc.Free = false
+	mc.Movable = false
 	ba.byPool[to] = append(ba.byPool[to], mc)
 	ba.decision.Moves = append(ba.decision.Moves, Move{Machine: mc.Name, To: to})
 }
@@ -222,17 +222,17 @@
 		if po.Standby {
 			continue
 		}
-		surplus := len(ba.byPool[po.Name]) - po.Keep
+		surplus := len(ba.byPool[po.Name]) - po.ReleaseFloor
 		for _, mc := range slices.Clone(ba.byPool[po.Name]) {
 			if surplus <= 0 {
 				break
 			}
-			if !mc.Free {
+			if !mc.Movable {
 				continue
 			}
 			surplus--
-			if mc.Work > 0 {
-				ba.decision.Leaving = append(ba.decision.Leaving, mc.Name)
+			if mc.Runs > 0 {
+				ba.decision.Draining = append(ba.decision.Draining, mc.Name)
 				continue
 			}
 			ba.move(po.Name, slices.IndexFunc(ba.byPool[po.Name], func(other Machine) bool { return other.Name == mc.Name }), standby)
--- a/internal/capacity/balance/balance_test.go
+++ b/internal/capacity/balance/balance_test.go
@@ -14,25 +14,25 @@
 		load Load
 		want int
 	}{
-		"nothing":                       {Load{PerMachine: 64_000}, 1},
-		"lasting tasks apart":           {Load{PerMachine: 64_000, Lasting: 20_000, Spread: 5}, 5},
-		"work that waits":               {Load{PerMachine: 64_000, Busy: 64_000, Waiting: 192_000}, 5},
-		"work that arrives":             {Load{PerMachine: 64_000, Rate: 640_000}, 12},
-		"the larger of the two":         {Load{PerMachine: 64_000, Rate: 64_000, Waiting: 640_000}, 12},
+		"nothing":                       {Load{MachineCapacity: 64_000}, 1},
+		"lasting tasks apart":           {Load{MachineCapacity: 64_000, LongRunning: 20_000, MinMachines: 5}, 5},
+		"work that waits":               {Load{MachineCapacity: 64_000, Busy: 64_000, Waiting: 192_000}, 5},
+		"work that arrives":             {Load{MachineCapacity: 64_000, ArrivalRate: 640_000}, 12},
+		"the larger of the two":         {Load{MachineCapacity: 64_000, ArrivalRate: 64_000, Waiting: 640_000}, 12},
 		"no machine was seen so far":    {Load{Waiting: 64_000}, 1},
-		"lasting tasks beside the rest": {Load{PerMachine: 64_000, Lasting: 64_000, Waiting: 100_000, Spread: 1}, 3},
+		"lasting tasks beside the rest": {Load{MachineCapacity: 64_000, LongRunning: 64_000, Waiting: 100_000, MinMachines: 1}, 3},
 	}
 	for name, tc := range cases {
-		t.Run(name, func(t *testing.T) { require.Equal(t, tc.want, Need(tc.load)) })
+		t.Run(name, func(t *testing.T) { require.Equal(t, tc.want, MachinesNeeded(tc.load)) })
 	}
 }
 
 func machines(pool string, idle, busy, tied int) []Machine {
 	var out []Machine
 	for ix := range idle + busy + tied {
-		mc := Machine{Name: fmt.Sprintf("%s-%02d", pool, ix), Pool: weir.PoolName(pool), Free: ix < idle+busy}
+		mc := Machine{Name: fmt.Sprintf("%s-%02d", pool, ix), Pool: weir.PoolName(pool), Movable: ix < idle+busy}
 		if ix >= idle && ix < idle+busy {
-			mc.Work = 1 + ix
+			mc.Runs = 1 + ix
 		}
 		out = append(out, mc)
 	}
@@ -40,7 +40,7 @@
 }
 
 func pool(name string, want, lend, keep int) Pool {
-	return Pool{Name: weir.PoolName(name), Want: want, Lend: lend, Keep: keep}
+	return Pool{Name: weir.PoolName(name), Desired: want, LendFloor: lend, ReleaseFloor: keep}
 }
 
 var standby = Pool{Name: "off", Standby: true}
@@ -118,7 +118,7 @@
 			}
 			dec := Decide(tc.pools, all)
 			require.Equal(t, tc.moves, flows(dec))
-			require.Len(t, dec.Leaving, tc.leaving)
+			require.Len(t, dec.Draining, tc.leaving)
 		})
 	}
 }
--- a/internal/job/scheduler/balance.go
+++ b/internal/job/scheduler/balance.go
@@ -78,25 +78,25 @@
 		pl := balance.Pool{Name: po.Name, Standby: po.Standby}
 		if !po.Standby {
 			// Machines that wait for maintenance take no tasks.
-			pl.Want = balance.Need(loads[po.Name]) + closed[po.Name]
-			pl.Lend, pl.Keep = md.keep(po.Name, pl.Want, now)
-			if now.Sub(re.since) < balance.Hold {
+			pl.Desired = balance.MachinesNeeded(loads[po.Name]) + closed[po.Name]
+			pl.LendFloor, pl.ReleaseFloor = md.keep(po.Name, pl.Desired, now)
+			if now.Sub(re.since) < balance.ReleaseHold {
 				// A new leader has not seen yet what the pool wants at times.
-				pl.Keep = max(pl.Keep, have[po.Name])
+				pl.ReleaseFloor = max(pl.ReleaseFloor, have[po.Name])
 			}
-			md.short = md.short || pl.Want > have[po.Name]
+			md.short = md.short || pl.Desired > have[po.Name]
 		}
 		pools = append(pools, pl)
 	}
 	dec := balance.Decide(pools, machines)
-	md.leaving = make(map[string]bool, len(dec.Leaving))
-	for _, name := range dec.Leaving {
+	md.leaving = make(map[string]bool, len(dec.Draining))
+	for _, name := range dec.Draining {
 		md.leaving[name] = true
 	}
 	for _, mv := range dec.Moves {
 		ld := loads[mv.To]
 		_ = ow.Logger.Log("level", "info", "msg", "machine moves", "machine", mv.Machine, "to", mv.To, "have", have[mv.To],
-			"busy", ld.Busy, "waiting", ld.Waiting, "rate", ld.Rate, "lasting", ld.Lasting)
+			"busy", ld.Busy, "waiting", ld.Waiting, "rate", ld.ArrivalRate, "lasting", ld.LongRunning)
 		md.asked[mv.Machine] = time.Time{}
 		ow.intend(re, store.MachineOperation{Machine: mv.Machine, Pool: mv.To}, byMachine[mv.Machine])
 	}
@@ -107,7 +107,7 @@
 func (md *machineDuty) keep(pool weir.PoolName, want int, now time.Time) (lend, keep int) {
 	recent := md.needs[pool]
 	recent = append(recent, needed{at: now, machines: want})
-	for now.Sub(recent[0].at) > balance.Hold {
+	for now.Sub(recent[0].at) > balance.ReleaseHold {
 		recent = recent[1:]
 	}
 	md.needs[pool] = recent
@@ -127,8 +127,8 @@
 	largest := 0
 	rd.EachWorker(func(wk store.Worker) {
 		ld := loads[wk.Pool]
-		ld.PerMachine = max(ld.PerMachine, wk.Capacity.MilliCPU)
-		largest = max(largest, ld.PerMachine)
+		ld.MachineCapacity = max(ld.MachineCapacity, wk.Capacity.MilliCPU)
+		largest = max(largest, ld.MachineCapacity)
 		loads[wk.Pool] = ld
 	})
 	rd.EachActiveJob(func(js *store.JobState) {
@@ -137,7 +137,7 @@
 			return
 		}
 		ld := loads[qu.Pool]
-		ld.PerMachine = max(ld.PerMachine, largest)
+		ld.MachineCapacity = max(ld.MachineCapacity, largest)
 		addLoad(&ld, js, wall)
 		loads[qu.Pool] = ld
 	})
@@ -145,7 +145,7 @@
 }
 
 func addLoad(ld *balance.Load, js *store.JobState, wall time.Time) {
-	fresh := wall.Sub(js.Accepted) < balance.Window
+	fresh := wall.Sub(js.Accepted) < balance.ArrivalWindow
 	for oc, round := range js.Occurrences {
 		if js.Spec.DueAt(oc).After(wall) {
 			break
@@ -153,17 +153,17 @@
 		for sp := range round {
 			step := js.Spec.Steps[sp]
 			cpu := step.Reserved().MilliCPU
-			if cpu > ld.PerMachine {
+			if cpu > ld.MachineCapacity {
 				continue // no machine can run it
 			}
 			if step.LongRunning {
-				ld.Lasting += cpu * step.Count
-				ld.Spread = max(ld.Spread, step.MinWorkers())
+				ld.LongRunning += cpu * step.Count
+				ld.MinMachines = max(ld.MinMachines, step.MinWorkers())
 				continue
 			}
 			if fresh {
 				work := float64(cpu*step.Count) * min(step.Estimate, longestEstimate).Seconds()
-				ld.Rate += int(work / balance.Window.Seconds())
+				ld.ArrivalRate += int(work / balance.ArrivalWindow.Seconds())
 			}
 			ready := js.StepReady(oc, sp)
 			for ix := range round[sp].Tasks {
@@ -192,8 +192,8 @@
 		}
 		mc := balance.Machine{Name: name, Pool: wk.Pool}
 		ca := ow.candidate(re, rd, name, wk)
-		mc.Work = ca.work
-		mc.Free = ca.lasting == 0 && at.ss.Usable() && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)
+		mc.Runs = ca.work
+		mc.Movable = ca.lasting == 0 && at.ss.Usable() && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)
 		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
 			mc.Pool = op.Pool
 		}
@@ -203,19 +203,19 @@
 		if _, ok := byMachine[name]; ok {
 			continue
 		}
-		mc := balance.Machine{Name: name, Pool: listed.Pool, Free: listed.State == weir.MachineUp && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)}
+		mc := balance.Machine{Name: name, Pool: listed.Pool, Movable: listed.State == weir.MachineUp && !md.engaged(rd, name) && ow.myTurn(re, rd, name, now)}
 		if po, ok := rd.Catalog().PoolByName(listed.Pool); !ok || !po.Standby {
 			// Without a worker a machine of another pool is on its way or lost.
-			mc.Free = false
+			mc.Movable = false
 			if listed.State == weir.MachineDown {
 				continue
 			}
 		}
 		if to, ok := md.sent[name]; ok && to.at.After(md.listedAt.Add(-listEvery)) && now.Sub(to.at) < sentFor {
-			mc.Pool, mc.Free = to.pool, false
+			mc.Pool, mc.Movable = to.pool, false
 		}
 		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
-			mc.Pool, mc.Free = op.Pool, false
+			mc.Pool, mc.Movable = op.Pool, false
 		}
 		out = append(out, mc)
 	}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -37,7 +37,7 @@
 	}
 	changes := make([]store.Change, len(starts))
 	for ix, pl := range starts {
-		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Incarnation: pl.Born}}
+		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Incarnation: pl.Incarnation}}
 	}
 	re.planning = true
 	for _, pl := range starts {
@@ -95,7 +95,7 @@
 func (ow *Scheduler) order(re *reign, rd store.Reader, pl placement.Placement) {
 	at := re.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
-	if at == nil || at.worker.Incarnation != pl.Born || js == nil || js.Phase.Terminal() {
+	if at == nil || at.worker.Incarnation != pl.Incarnation || js == nil || js.Phase.Terminal() {
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
@@ -163,9 +163,9 @@
 				if !ok {
 					continue
 				}
-				gr.Work = workLeft(js, oc)
+				gr.RemainingWork = workLeft(js, oc)
 				if qu.Advice != nil {
-					if gr.Allowed = ow.tickets(ctx, re, rd, gr.Step, qu); gr.Allowed == nil {
+					if gr.AllowedWorkers = ow.tickets(ctx, re, rd, gr.Step, qu); gr.AllowedWorkers == nil {
 						continue
 					}
 				}
@@ -196,14 +196,14 @@
 	ref := spec.TaskRef{Job: js.Spec.ID, Occurrence: oc, Step: sp}
 	gr := placement.Group{
 		Step: ref, Spec: step, Pool: qu.Pool, Priority: qu.Priority,
-		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), On: map[weir.InstanceID]int{},
+		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), RunsByWorker: map[weir.InstanceID]int{},
 	}
 	highest := 0
 	for ix := range ss.Tasks {
 		tk := &ss.Tasks[ix]
 		highest = max(highest, tk.Run)
 		if tk.Placed() {
-			gr.On[tk.Worker]++
+			gr.RunsByWorker[tk.Worker]++
 			continue
 		}
 		if !tk.Done {
@@ -212,7 +212,7 @@
 			if tk.EndedAt.After(since) {
 				since = tk.EndedAt
 			}
-			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, Avoid: re.avoid[ref], Since: since})
+			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, AvoidWorker: re.avoid[ref], WaitingSince: since})
 		}
 	}
 	if step.Gang {
@@ -269,9 +269,9 @@
 		if hl.resting(now) {
 			continue
 		}
-		pw := placement.Worker{ID: id, Born: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
+		pw := placement.Worker{ID: id, Incarnation: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
 		load := rd.Load(id)
-		pw.Free, pw.Serving, pw.Filling = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
+		pw.Free, pw.Serving, pw.BestEffort = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
 	}
 	return workers
--- a/internal/schedule/placement/load_test.go
+++ b/internal/schedule/placement/load_test.go
@@ -82,7 +82,7 @@
 			gr := group(jb.id, spec.Step{Count: jb.toStart, Resources: spec.Resources{MilliCPU: 4000}, Estimate: jb.length})
 			gr.StartBy = start.Add(jb.due - jb.length)
 			if byWork {
-				gr.Work = float64(4*jb.toStart) * jb.length.Seconds()
+				gr.RemainingWork = float64(4*jb.toStart) * jb.length.Seconds()
 			}
 			groups = append(groups, gr)
 		}
--- a/internal/schedule/placement/plan.go
+++ b/internal/schedule/placement/plan.go
@@ -26,10 +26,10 @@
 	Index      int
 	Run        int
 	Checkpoint string
-	// Avoid names a worker on which it ended badly last; it may be empty.
-	Avoid weir.InstanceID
-	// Since is when the task began to wait.
-	Since time.Time
+	// AvoidWorker names a worker on which it ended badly last; it may be empty.
+	AvoidWorker weir.InstanceID
+	// WaitingSince is when the task began to wait.
+	WaitingSince time.Time
 }
 
 // spreadPatience is how long a lasting task waits for a worker that holds
@@ -47,37 +47,37 @@
 	Priority int
 	// StartBy is when the step has to start for the job to meet its objective.
 	StartBy time.Time
-	// Work is what is left of the whole job, in core-seconds.
-	Work float64
-	// On counts the step's runs at each worker.
-	On map[weir.InstanceID]int
-	// Allowed holds the only workers that may run the step; nil allows all.
-	Allowed map[weir.InstanceID]string
+	// RemainingWork is what is left of the whole job, in core-seconds.
+	RemainingWork float64
+	// RunsByWorker counts the step's runs at each worker.
+	RunsByWorker map[weir.InstanceID]int
+	// AllowedWorkers holds the only workers that may run the step; nil allows all.
+	AllowedWorkers map[weir.InstanceID]string
 }
 
 // Worker is a worker that may take tasks.
 type Worker struct {
-	ID   weir.InstanceID
-	Born int64
-	Pool weir.PoolName
-	Kind string
-	Rack string
+	ID          weir.InstanceID
+	Incarnation int64
+	Pool        weir.PoolName
+	Kind        string
+	Rack        string
 	// Free is the room that no run takes.
 	Free spec.Resources
 	// Serving and Filling count the lasting tasks, apart from those that use
 	// what others leave.
-	Serving int
-	Filling int
+	Serving    int
+	BestEffort int
 	// Suspect workers are used only where there is no other.
 	Suspect bool
 }
 
 // Placement is one start.
 type Placement struct {
-	Task   weir.TaskRef
-	Run    int
-	Worker weir.InstanceID
-	Born   int64
+	Task        weir.TaskRef
+	Run         int
+	Worker      weir.InstanceID
+	Incarnation int64
 }
 
 // Place returns the starts that are possible now, most urgent groups first.
@@ -88,7 +88,7 @@
 			cmp.Compare(one.class(now), other.class(now)),
 			// The least work first lets most jobs meet their objective when
 			// there is too much of it.
-			cmp.Compare(one.Work, other.Work),
+			cmp.Compare(one.RemainingWork, other.RemainingWork),
 			one.StartBy.Compare(other.StartBy),
 			cmp.Compare(one.Step.Job, other.Step.Job),
 			cmp.Compare(one.Step.Step, other.Step.Step),
@@ -122,7 +122,7 @@
 }
 
 func place(now time.Time, gr Group, workers []*Worker) []Placement {
-	if !slices.ContainsFunc(workers, func(wk *Worker) bool { return wk.accepts(gr, gr.On) }) {
+	if !slices.ContainsFunc(workers, func(wk *Worker) bool { return wk.accepts(gr, gr.RunsByWorker) }) {
 		return nil
 	}
 	var before []Worker
@@ -132,8 +132,8 @@
 			before[ix] = *wk
 		}
 	}
-	on := make(map[weir.InstanceID]int, len(gr.On))
-	for id, count := range gr.On {
+	on := make(map[weir.InstanceID]int, len(gr.RunsByWorker))
+	for id, count := range gr.RunsByWorker {
 		on[id] = count
 	}
 	rack := chooseRack(gr, workers)
@@ -145,7 +145,7 @@
 		}
 		wk.take(gr.Spec)
 		on[wk.ID]++
-		out = append(out, Placement{Task: gr.ref(tk), Run: tk.Run, Worker: wk.ID, Born: wk.Born})
+		out = append(out, Placement{Task: gr.ref(tk), Run: tk.Run, Worker: wk.ID, Incarnation: wk.Incarnation})
 	}
 	if gr.Spec.Gang && len(out) < len(gr.Tasks) {
 		for ix, wk := range workers {
@@ -166,7 +166,7 @@
 	wk.Free = wk.Free.Minus(st.Reserved())
 	switch {
 	case st.BestEffort:
-		wk.Filling++
+		wk.BestEffort++
 	case st.LongRunning:
 		wk.Serving++
 	}
@@ -207,7 +207,7 @@
 
 func (wk *Worker) accepts(gr Group, on map[weir.InstanceID]int) bool {
 	st := gr.Spec
-	if _, ok := gr.Allowed[wk.ID]; gr.Allowed != nil && !ok {
+	if _, ok := gr.AllowedWorkers[wk.ID]; gr.AllowedWorkers != nil && !ok {
 		return false
 	}
 	if st.Label != "" && st.Label != wk.Kind && st.Label != wk.Rack {
@@ -235,7 +235,7 @@
 
 // better reports whether one worker is a better place than another.
 func better(gr Group, tk Task, on map[weir.InstanceID]int, rack string, one, other *Worker) bool {
-	if order := compareBool(one.Suspect || one.ID == tk.Avoid, other.Suspect || other.ID == tk.Avoid); order != 0 {
+	if order := compareBool(one.Suspect || one.ID == tk.AvoidWorker, other.Suspect || other.ID == tk.AvoidWorker); order != 0 {
 		return order < 0
 	}
 	if order := compareBool(one.Rack != rack, other.Rack != rack); rack != "" && order != 0 {
@@ -276,12 +276,12 @@
 // waits reports whether a task has not waited long for a better worker. A time
 // of day that was set back ends the wait.
 func (tk Task) waits(now time.Time) bool {
-	waited := now.Sub(tk.Since)
+	waited := now.Sub(tk.WaitingSince)
 	return waited >= 0 && waited < spreadPatience
 }
 
 // keeps reports whether lasting tasks tie the worker to its pool.
-func (wk *Worker) keeps() bool { return wk.Serving+wk.Filling > 0 }
+func (wk *Worker) keeps() bool { return wk.Serving+wk.BestEffort > 0 }
 
 // disturbance keeps tasks that fill away from tasks that serve.
 func (gr Group) disturbance(one, other *Worker) int {
@@ -289,7 +289,7 @@
 	case gr.Spec.BestEffort:
 		return cmp.Compare(one.Serving, other.Serving)
 	case gr.Spec.LongRunning:
-		return cmp.Compare(one.Filling, other.Filling)
+		return cmp.Compare(one.BestEffort, other.BestEffort)
 	}
 	return 0
 }
--- a/internal/schedule/placement/plan_test.go
+++ b/internal/schedule/placement/plan_test.go
@@ -15,13 +15,13 @@
 var testNow = time.Unix(1_800_000_000, 0)
 
 func worker(id string, cores int) Worker {
-	return Worker{ID: weir.InstanceID(id), Born: 1, Pool: "desk", Rack: "r-" + id, Free: spec.Resources{MilliCPU: cores * 1000, MemoryMB: 100_000}}
+	return Worker{ID: weir.InstanceID(id), Incarnation: 1, Pool: "desk", Rack: "r-" + id, Free: spec.Resources{MilliCPU: cores * 1000, MemoryMB: 100_000}}
 }
 
 func group(job string, step spec.Step, edit ...func(gr *Group)) Group {
 	gr := Group{
 		Step: weir.TaskRef{Job: weir.JobID(job)}, Spec: step, Pool: "desk",
-		StartBy: testNow.Add(time.Second), On: map[weir.InstanceID]int{},
+		StartBy: testNow.Add(time.Second), RunsByWorker: map[weir.InstanceID]int{},
 	}
 	for ix := range step.Count {
 		gr.Tasks = append(gr.Tasks, Task{Index: ix, Run: 1})
@@ -35,7 +35,7 @@
 func waitingFor(span time.Duration) func(gr *Group) {
 	return func(gr *Group) {
 		for ix := range gr.Tasks {
-			gr.Tasks[ix].Since = testNow.Add(-span)
+			gr.Tasks[ix].WaitingSince = testNow.Add(-span)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
 		"a bound on tasks of a step on one worker": {
-			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1), MaxPerWorker: 1}, func(gr *Group) { gr.On["w2"] = 1 })},
+			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1), MaxPerWorker: 1}, func(gr *Group) { gr.RunsByWorker["w2"] = 1 })},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1},
 		},
@@ -147,7 +147,7 @@
 			map[string]int{"a on w2": 2},
 		},
 		"only where the adviser allows it": {
-			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1)}, func(gr *Group) { gr.Allowed = map[weir.InstanceID]string{"w2": "ticket"} })},
+			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1)}, func(gr *Group) { gr.AllowedWorkers = map[weir.InstanceID]string{"w2": "ticket"} })},
 			[]Worker{worker("w1", 64), worker("w2", 2)},
 			map[string]int{"a on w2": 2},
 		},
