--- a/internal/job/scheduler/committer.go
+++ b/internal/job/scheduler/committer.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxBatch bounds the changes of one entry, which keeps it under a
-	// megabyte with jobs of usual size.
+	// maxBatch limits the changes in one entry, which keeps the entry under a
+	// megabyte for jobs of typical size.
 	maxBatch = 512
-	// commitSlots bounds the changes that wait.
-	commitSlots = 8192
-	// commitTimeout is how long a commit may take; without a majority for that
-	// long the outcome is unknown.
+	// maxQueuedCommits is the capacity of the queue of commit requests.
+	maxQueuedCommits = 8192
+	// commitTimeout limits one commit; after it the outcome is unknown, which
+	// happens if there is no majority for that long.
 	commitTimeout = 2 * time.Second
 )
 
@@ -28,26 +28,27 @@
 	Propose(ctx context.Context, data []byte) (any, error)
 }
 
-// Committer gathers changes, so that one sync of the log serves many of them.
-// Set the exported fields before Run.
+// Committer commits changes in batches, so that one sync of the log covers many
+// of them. Set the exported fields before Run.
 type Committer struct {
 	Log  Proposer
 	Wall weir.Clock
 
-	queue chan commit
+	queue chan commitRequest
 }
 
-type commit struct {
+// commitRequest is a queued request to commit changes.
+type commitRequest struct {
 	changes []store.Change
-	reply   func(answers []store.Result, err error)
+	reply   func(results []store.Result, err error)
 }
 
-// String is the step's name in logs.
+// String returns the component's name for logs.
 func (cm *Committer) String() string { return "committer" }
 
-// Default prepares the queue.
+// Default creates the queue.
 func (cm *Committer) Default() error {
-	cm.queue = make(chan commit, commitSlots)
+	cm.queue = make(chan commitRequest, maxQueuedCommits)
 	return nil
 }
 
@@ -63,8 +64,9 @@
 	}
 }
 
-func (cm *Committer) gather(first commit) []commit {
-	batch, count := []commit{first}, len(first.changes)
+// gather adds queued requests to a batch without waiting for more.
+func (cm *Committer) gather(first commitRequest) []commitRequest {
+	batch, count := []commitRequest{first}, len(first.changes)
 	for count < maxBatch {
 		select {
 		case next := <-cm.queue:
@@ -77,19 +79,19 @@
 	return batch
 }
 
-func (cm *Committer) commit(ctx context.Context, batch []commit) {
+func (cm *Committer) commit(ctx context.Context, batch []commitRequest) {
 	en := store.Entry{At: cm.Wall.Now()}
 	for _, cmt := range batch {
 		en.Changes = append(en.Changes, cmt.changes...)
 	}
-	answers, err := cm.propose(ctx, en)
+	results, err := cm.propose(ctx, en)
 	for _, cmt := range batch {
 		if err != nil {
 			cmt.reply(nil, err)
 			continue
 		}
-		cmt.reply(answers[:len(cmt.changes):len(cmt.changes)], nil)
-		answers = answers[len(cmt.changes):]
+		cmt.reply(results[:len(cmt.changes):len(cmt.changes)], nil)
+		results = results[len(cmt.changes):]
 	}
 }
 
@@ -106,19 +108,19 @@
 	if err != nil {
 		return nil, err
 	}
-	answers, ok := value.([]store.Result)
-	if !ok || len(answers) != len(en.Changes) {
-		return nil, &Error{Op: "commit", Kind: KindInternal, Err: errors.New("an answer for each change is missing")}
+	results, ok := value.([]store.Result)
+	if !ok || len(results) != len(en.Changes) {
+		return nil, &Error{Op: "commit", Kind: KindInternal, Err: errors.New("number of results differs from number of changes")}
 	}
-	return answers, nil
+	return results, nil
 }
 
-// Submit queues changes; reply is called once, on the committer's goroutine,
-// and must not block. It reports false where too many wait: the changes are
-// then certainly not made and reply is not called.
-func (cm *Committer) Submit(changes []store.Change, reply func(answers []store.Result, err error)) bool {
+// Submit queues changes. The function reply is called once, on the committer's
+// goroutine, and must not block. Submit reports false if the queue is full: the
+// changes are then not made and reply is not called.
+func (cm *Committer) Submit(changes []store.Change, reply func(results []store.Result, err error)) bool {
 	select {
-	case cm.queue <- commit{changes: changes, reply: reply}:
+	case cm.queue <- commitRequest{changes: changes, reply: reply}:
 		return true
 	default:
 		metrics.GetOrCreateCounter("weir_job_commits_refused_total").Inc()
@@ -126,17 +128,17 @@
 	}
 }
 
-// Commit makes one change and waits for it. An error of KindBusy says that it
-// is certainly not made; any other error leaves that open.
+// Commit commits one change and waits for its result. An error of KindBusy means
+// that the change was not made; after any other error it may have been made.
 func (cm *Committer) Commit(ctx context.Context, ch store.Change) (store.Result, error) {
-	answers, err := cm.commitAll(ctx, []store.Change{ch})
+	results, err := cm.commitAll(ctx, []store.Change{ch})
 	if err != nil {
 		return store.Result{}, err
 	}
-	return answers[0], nil
+	return results[0], nil
 }
 
-// CommitAll is Commit for some changes, made in one step.
+// CommitAll is like Commit for several changes, which are applied in one entry.
 func (cm *Committer) CommitAll(ctx context.Context, changes []store.Change) error {
 	_, err := cm.commitAll(ctx, changes)
 	return err
@@ -144,16 +146,16 @@
 
 func (cm *Committer) commitAll(ctx context.Context, changes []store.Change) ([]store.Result, error) {
 	type result struct {
-		answers []store.Result
+		results []store.Result
 		err     error
 	}
 	done := make(chan result, 1)
-	if !cm.Submit(changes, func(answers []store.Result, err error) { done <- result{answers, err} }) {
+	if !cm.Submit(changes, func(results []store.Result, err error) { done <- result{results, err} }) {
 		return nil, &Error{Op: "commit", Kind: KindBusy}
 	}
 	select {
 	case res := <-done:
-		return res.answers, res.err
+		return res.results, res.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -12,78 +12,80 @@
 	weir "greengageweir"
 )
 
-func (ow *Scheduler) recordEnds(re *reign, id weir.InstanceID, at *attended, out session.Outcome, now time.Time) {
+// recordEnds commits the run ends that a worker reported.
+func (sc *Scheduler) recordEnds(ls *leaderState, id weir.InstanceID, ws *workerSession, out session.Outcome, now time.Time) {
 	changes := make([]store.Change, len(out.Ends))
 	for ix := range out.Ends {
 		en := &out.Ends[ix]
 		changes[ix] = store.Change{End: en}
-		ow.noteEnd(re, id, *en, now)
-		delete(re.evicted, weir.RunKey{Task: en.Task, Run: en.Run})
+		sc.updateHealth(ls, id, *en, now)
+		delete(ls.evicted, weir.RunKey{Task: en.Task, Run: en.Run})
 		metrics.GetOrCreateCounter(`weir_run_ends_total{how="` + string(en.Reason) + `"}`).Inc()
 		if en.Reason != store.EndDone {
-			_ = ow.Logger.Log("level", "info", "msg", "run ended", "job", en.Task.Job, "task", en.Task, "run", en.Run,
+			_ = sc.Logger.Log("level", "info", "msg", "run ended", "job", en.Task.Job, "task", en.Task, "run", en.Run,
 				"worker", id, "how", string(en.Reason), "checkpoint", en.Checkpoint)
 		}
 	}
 	reply := func(_ []store.Result, err error) {
 		if err != nil {
-			at.ss.EndsNotCommitted()
-			ow.changed(at)
-			_ = ow.Logger.Log("level", "warn", "msg", "ends not recorded", "worker", id, "err", err)
+			ws.session.EndsNotCommitted()
+			sc.markDirty(ws)
+			_ = sc.Logger.Log("level", "warn", "msg", "run ends not committed", "worker", id, "err", err)
 			return
 		}
-		at.ss.EndsCommitted(out.Number)
-		ow.changed(at)
-		ow.tellEnded(out.Ends)
+		ws.session.EndsCommitted(out.Number)
+		sc.markDirty(ws)
+		sc.logEndedJobs(out.Ends)
 	}
-	if !ow.Committer.Submit(changes, reply) {
-		at.ss.EndsNotCommitted()
+	if !sc.Committer.Submit(changes, reply) {
+		ws.session.EndsNotCommitted()
 	}
 }
 
-// tellEnded logs the jobs that recorded ends have brought to theirs.
-func (ow *Scheduler) tellEnded(ends []store.RunEnd) {
-	told := map[weir.JobID]bool{}
-	ow.Store.Read(func(rd store.Reader) {
+// logEndedJobs logs the jobs that are over after some run ends were recorded.
+func (sc *Scheduler) logEndedJobs(ends []store.RunEnd) {
+	logged := map[weir.JobID]bool{}
+	sc.Store.Read(func(rd store.Reader) {
 		for _, en := range ends {
 			js := rd.Job(en.Task.Job)
-			if js == nil || !js.Phase.Terminal() || told[en.Task.Job] {
+			if js == nil || !js.Phase.Terminal() || logged[en.Task.Job] {
 				continue
 			}
-			told[en.Task.Job] = true
-			_ = ow.Logger.Log("level", "info", "msg", "job ended", "job", en.Task.Job, "phase", string(js.Phase),
+			logged[en.Task.Job] = true
+			_ = sc.Logger.Log("level", "info", "msg", "job ended", "job", en.Task.Job, "phase", string(js.Phase),
 				"queue", js.Spec.Queue, "after", js.Ended.Sub(js.Accepted).String())
 		}
 	})
 }
 
-// dropWorker ends a life whose lease has surely lapsed.
-func (ow *Scheduler) dropWorker(re *reign, at *attended, now time.Time) {
-	if at.dropping {
+// removeExpiredWorker ends a worker incarnation whose lease has certainly
+// expired.
+func (sc *Scheduler) removeExpiredWorker(ls *leaderState, ws *workerSession, now time.Time) {
+	if ws.removalInFlight {
 		return
 	}
-	wk := at.worker
-	_ = ow.Logger.Log("level", "warn", "msg", "worker given up", "worker", wk.ID, "reason", "lease lapsed",
-		"announcedAgo", now.Sub(at.announced).String())
+	wk := ws.worker
+	_ = sc.Logger.Log("level", "warn", "msg", "worker removed", "worker", wk.ID, "reason", "lease lapsed",
+		"announcedAgo", now.Sub(ws.announcedAt).String())
 	var changes []store.Change
-	ow.Store.Read(func(rd store.Reader) { changes = ow.leave(re, rd, wk, "lease lapsed") })
-	at.dropping = ow.Committer.Submit(changes, func([]store.Result, error) {
-		ow.mu.Lock()
-		at.dropping = false
-		ow.mu.Unlock()
+	sc.Store.Read(func(rd store.Reader) { changes = sc.leaveChanges(ls, rd, wk, "lease lapsed") })
+	ws.removalInFlight = sc.Committer.Submit(changes, func([]store.Result, error) {
+		sc.mu.Lock()
+		ws.removalInFlight = false
+		sc.mu.Unlock()
 	})
 }
 
-// leave returns the changes that end a worker's life. Runs that it listed with
-// a checkpoint keep it.
-func (ow *Scheduler) leave(re *reign, rd store.Reader, wk store.Worker, reason string) []store.Change {
+// leaveChanges returns the changes that end a worker's incarnation. Checkpoints
+// that the worker reported for its runs are kept.
+func (sc *Scheduler) leaveChanges(ls *leaderState, rd store.Reader, wk store.Worker, reason string) []store.Change {
 	var changes []store.Change
 	for key := range rd.Runs(wk.ID) {
-		_ = ow.Logger.Log("level", "info", "msg", "run lost with its worker", "job", key.Task.Job, "task", key.Task,
+		_ = sc.Logger.Log("level", "info", "msg", "run lost with its worker", "job", key.Task.Job, "task", key.Task,
 			"run", key.Run, "worker", wk.ID, "reason", reason)
 	}
-	if at := re.sessions[wk.ID]; at != nil && at.worker.Incarnation == wk.Incarnation {
-		_, running := at.ss.Running()
+	if ws := ls.sessions[wk.ID]; ws != nil && ws.worker.Incarnation == wk.Incarnation {
+		_, running := ws.session.Running()
 		for _, rt := range running {
 			if _, here := rd.Runs(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
 				changes = append(changes, store.Change{End: &store.RunEnd{
@@ -95,22 +97,22 @@
 	return append(changes, store.Change{Leave: &store.WorkerLeave{ID: wk.ID, Incarnation: wk.Incarnation, Reason: reason}})
 }
 
-// DeregisterWorker ends a worker's life on its own word. It reports false where this
-// process does not lead, or knows no such worker.
-func (ow *Scheduler) DeregisterWorker(ctx context.Context, id weir.InstanceID) (bool, error) {
-	ow.mu.Lock()
-	re := ow.reign
+// DeregisterWorker ends the incarnation of a worker that asked to leave. It
+// reports false if this process does not lead or does not know the worker.
+func (sc *Scheduler) DeregisterWorker(ctx context.Context, id weir.InstanceID) (bool, error) {
+	sc.mu.Lock()
+	ls := sc.leader
 	var changes []store.Change
-	if re != nil {
-		ow.Store.Read(func(rd store.Reader) {
+	if ls != nil {
+		sc.Store.Read(func(rd store.Reader) {
 			if wk, ok := rd.Worker(id); ok {
-				changes = ow.leave(re, rd, wk, "departed")
+				changes = sc.leaveChanges(ls, rd, wk, "departed")
 			}
 		})
 	}
-	ow.mu.Unlock()
+	sc.mu.Unlock()
 	if len(changes) == 0 {
 		return false, nil
 	}
-	return true, ow.Committer.CommitAll(ctx, changes)
+	return true, sc.Committer.CommitAll(ctx, changes)
 }
--- a/internal/job/scheduler/health.go
+++ b/internal/job/scheduler/health.go
@@ -11,72 +11,77 @@
 )
 
 const (
-	// suspectAfter is how many failures in a row make a worker suspect: a
-	// sound worker fails a few tasks in a hundred, so three in a row are rare.
+	// suspectAfter is how many consecutive failures make a worker suspect. A
+	// healthy worker fails a few tasks in a hundred, so three in a row are rare.
 	suspectAfter = 3
-	// restAfter is how many in a row keep tasks away from it for a while.
-	restAfter = 4
-	// restMin and restMax bound that while; it doubles with each failure, and
-	// one success ends it. The attempts of a task are few.
-	restMin = 500 * time.Millisecond
-	restMax = 4 * time.Second
-	// refusalRest is how long a worker that refused a start is left alone.
-	refusalRest = 250 * time.Millisecond
+	// backoffAfter is how many consecutive failures put a worker into backoff,
+	// in which it gets no tasks.
+	backoffAfter = 4
+	// backoffMin and backoffMax limit the backoff, which doubles with each
+	// failure and ends with one success. A task has few attempts, so a failing
+	// worker must not use them up.
+	backoffMin = 500 * time.Millisecond
+	backoffMax = 4 * time.Second
+	// refusalBackoff is how long a worker gets no tasks after it refused a start.
+	refusalBackoff = 250 * time.Millisecond
 )
 
-// health is what a leader has seen of one worker.
+// health is the record of failures of one worker in this term.
 type health struct {
-	failures  int // in a row
-	restUntil time.Time
-	rest      time.Duration
-	// slowUntil is until when the worker is used only for want of others.
+	failures     int // consecutive
+	backoffUntil time.Time
+	backoff      time.Duration
+	// slowUntil is the end of the period in which the worker is suspect because
+	// it had a slow run.
 	slowUntil time.Time
 }
 
-func (hl *health) resting(now time.Time) bool { return hl != nil && now.Before(hl.restUntil) }
+func (hl *health) inBackoff(now time.Time) bool { return hl != nil && now.Before(hl.backoffUntil) }
 
 func (hl *health) suspect(now time.Time) bool {
 	return hl != nil && (hl.failures >= suspectAfter || now.Before(hl.slowUntil))
 }
 
-func (re *reign) healthOf(id weir.InstanceID) *health {
-	hl := re.health[id]
+func (ls *leaderState) healthOf(id weir.InstanceID) *health {
+	hl := ls.health[id]
 	if hl == nil {
 		hl = &health{}
-		re.health[id] = hl
+		ls.health[id] = hl
 	}
 	return hl
 }
 
-// noteEnd learns from the end of a run.
-func (ow *Scheduler) noteEnd(re *reign, id weir.InstanceID, en store.RunEnd, now time.Time) {
-	hl := re.healthOf(id)
+// updateHealth updates a worker's health after the end of a run.
+func (sc *Scheduler) updateHealth(ls *leaderState, id weir.InstanceID, en store.RunEnd, now time.Time) {
+	hl := ls.healthOf(id)
 	switch en.Reason {
 	case store.EndDone:
-		hl.failures, hl.rest, hl.restUntil = 0, 0, time.Time{}
-		delete(re.avoid, en.Task)
-		delete(re.slow, en.Task)
+		hl.failures, hl.backoff, hl.backoffUntil = 0, 0, time.Time{}
+		delete(ls.avoidWorker, en.Task)
+		delete(ls.stoppedSlow, en.Task)
 	case store.EndFailed:
-		re.avoid[en.Task] = id
+		ls.avoidWorker[en.Task] = id
 		hl.failures++
-		if hl.failures >= restAfter {
-			hl.rest = min(max(2*hl.rest, restMin), restMax)
-			hl.restUntil = now.Add(hl.rest)
-			_ = ow.Logger.Log("level", "warn", "msg", "worker rests after failures", "worker", id,
-				"failures", hl.failures, "rest", hl.rest.String())
+		if hl.failures >= backoffAfter {
+			hl.backoff = min(max(2*hl.backoff, backoffMin), backoffMax)
+			hl.backoffUntil = now.Add(hl.backoff)
+			_ = sc.Logger.Log("level", "warn", "msg", "worker in backoff after failures", "worker", id,
+				"failures", hl.failures, "rest", hl.backoff.String())
 		}
 	default:
 	}
 }
 
-// noteRefusal learns from a start that a worker refused.
-func (ow *Scheduler) noteRefusal(re *reign, id weir.InstanceID, key weir.RunKey, reason weir.Refusal, now time.Time) {
+// handleRefusal handles a start that a worker refused: it drops the step's
+// tickets if the worker rejected its ticket and puts the worker into backoff
+// otherwise.
+func (sc *Scheduler) handleRefusal(ls *leaderState, id weir.InstanceID, key weir.RunKey, reason weir.Refusal, now time.Time) {
 	if reason == weir.RefusedTicket {
-		delete(re.advice, key.Task.StepRef())
+		delete(ls.advice, key.Task.StepRef())
 	} else {
-		re.healthOf(id).restUntil = now.Add(refusalRest)
+		ls.healthOf(id).backoffUntil = now.Add(refusalBackoff)
 	}
 	metrics.GetOrCreateCounter(`weir_starts_refused_total{reason="` + string(reason) + `"}`).Inc()
-	_ = ow.Logger.Log("level", "info", "msg", "start refused", "job", key.Task.Job, "task", key.Task, "run", key.Run,
+	_ = sc.Logger.Log("level", "info", "msg", "run start refused", "job", key.Task.Job, "task", key.Task, "run", key.Run,
 		"worker", id, "reason", string(reason))
 }
--- a/internal/job/scheduler/late_answer_test.go
+++ b/internal/job/scheduler/late_response_test.go
@@ -15,19 +15,19 @@
 	weir "greengageweir"
 )
 
-// doneBefore is a platform that answers an order that it carried out earlier.
-type doneBefore struct {
+// acceptingPlatform is a platform that accepts every order.
+type acceptingPlatform struct {
 	weir.MachinePlatform
 
 	orders chan weir.MachineOrder
 }
 
-func (db *doneBefore) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
-	db.orders <- order
+func (ap *acceptingPlatform) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
+	ap.orders <- order
 	return weir.MachineAccepted, nil
 }
 
-// gatedLog applies entries once they are let through.
+// gatedLog blocks proposals until the gate is opened.
 type gatedLog struct {
 	st    *store.Store
 	index uint64
@@ -40,10 +40,10 @@
 	return gl.st.Apply(gl.index, data), nil
 }
 
-// TestLateAnswerEndsOnlyTheLifeThatWasOrderedAway plays a machine that was
-// moved by an order without an answer: its next worker runs a task when the
-// order, sent again, is answered.
-func TestLateAnswerEndsOnlyTheLifeThatWasOrderedAway(t *testing.T) {
+// TestLateResponseKeepsNewIncarnation covers a machine that was moved by an order
+// whose response was lost. The order is sent again and accepted while the machine's
+// next worker incarnation already runs a task, which must not be ended.
+func TestLateResponseKeepsNewIncarnation(t *testing.T) {
 	move := store.MachineOperation{Machine: "mw0", Pool: "desk", Worker: "w0", Incarnation: 1}
 	next := store.Worker{ID: "w2", Incarnation: 2, Address: "w2", Machine: "mw0"}
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 1}}}}, store.Change{Machine: &move},
@@ -54,24 +54,24 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = com.Run(ctx) }()
-	db := &doneBefore{orders: make(chan weir.MachineOrder, 8)}
-	ow := &Scheduler{
-		Store: st, Machines: db, Leadership: firstTerm{}, Committer: com, Clock: clock.BootTime{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
+	ap := &acceptingPlatform{orders: make(chan weir.MachineOrder, 8)}
+	sc := &Scheduler{
+		Store: st, Machines: ap, Leadership: firstTermLeader{}, Committer: com, Clock: clock.BootTime{}, Logger: log.NewNopLogger(), wake: make(chan struct{}, 1),
 	}
-	re := &reign{term: 1, since: testNow, machines: newMachineDuty(0), sessions: map[weir.InstanceID]*attended{}}
-	re.machines.mine["mw0"] = true
-	ow.reign = re
-	ow.mu.Lock()
-	ow.orderMachines(ctx, re, testNow)
-	ow.mu.Unlock()
-	<-db.orders
-	// The answer is here, its record is not.
+	ls := &leaderState{term: 1, since: testNow, machines: newMachineState(0), sessions: map[weir.InstanceID]*workerSession{}}
+	ls.machines.orderedHere["mw0"] = true
+	sc.leader = ls
+	sc.mu.Lock()
+	sc.orderMachines(ctx, ls, testNow)
+	sc.mu.Unlock()
+	<-ap.orders
+	// The response has arrived but is not recorded yet.
 	require.Never(t, func() bool {
-		ow.mu.Lock()
-		ow.orderMachines(ctx, re, after(60_000))
-		ow.mu.Unlock()
-		return len(db.orders) > 0
-	}, 50*time.Millisecond, 5*time.Millisecond, "the order is not sent again meanwhile")
+		sc.mu.Lock()
+		sc.orderMachines(ctx, ls, after(60_000))
+		sc.mu.Unlock()
+		return len(ap.orders) > 0
+	}, 50*time.Millisecond, 5*time.Millisecond, "the order is not sent again before its response is recorded")
 	close(gl.gate)
 	require.Eventually(t, func() bool {
 		open := true
@@ -79,7 +79,7 @@
 		return !open
 	}, 10*time.Second, time.Millisecond)
 	st.Read(func(rd store.Reader) {
-		require.True(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed(), "the run at the next life goes on")
+		require.True(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed(), "the run of the new incarnation goes on")
 		_, ok := rd.Worker("w2")
 		require.True(t, ok)
 	})
--- /dev/null
+++ b/internal/job/scheduler/machines.go
@@ -0,0 +1,313 @@
+package scheduler
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"greengageweir/internal/job/store"
+
+	"golang.org/x/time/rate"
+
+	weir "greengageweir"
+)
+
+const (
+	// orderRetryInterval is the delay before an order that was neither accepted
+	// nor refused is sent again.
+	orderRetryInterval = 400 * time.Millisecond
+	// platformRateShare is the fraction of the platform's rate limit that is
+	// used, since the platform's clock and ours do not agree on a second.
+	platformRateShare = 0.9
+	// orderBurstPeriod sets the burst of the rate limit: the orders of this
+	// period may be sent at once after a pause.
+	orderBurstPeriod = 250 * time.Millisecond
+	// maxOrdersInFlight limits the orders in flight; the platform client has
+	// enough connections for them.
+	maxOrdersInFlight = 48
+	// platformTimeout limits one request to the platform.
+	platformTimeout = 1500 * time.Millisecond
+)
+
+// machineState is what a leader knows about machines beside the replicated
+// state. The maps are by machine name unless stated otherwise.
+type machineState struct {
+	// cordon holds machines that get no new tasks because their maintenance is
+	// due, with the time since when.
+	cordon map[string]time.Time
+	// lastOrderAt is when the last order for a machine was sent.
+	lastOrderAt map[string]time.Time
+	// inFlight is set while an order is sent and its response recorded.
+	inFlight map[string]bool
+	// draining holds machines that get no new tasks because they will move to
+	// another pool.
+	draining map[string]bool
+	// listed is the platform's list of machines, listedAt when it was requested,
+	// listing is set while a request is in flight.
+	listed   map[string]weir.Machine
+	listedAt time.Time
+	listing  bool
+	// shortage is set if a pool had fewer machines than it needs at the last
+	// evaluation.
+	shortage bool
+	// waitLoggedAt is when blocked maintenance was last logged.
+	waitLoggedAt time.Time
+	// destinations holds the pool to which a machine was last sent, and when.
+	destinations map[string]destination
+	// demandHistory holds the recent demand of each pool.
+	demandHistory map[weir.PoolName][]demandSample
+	// pendingCommit holds machines whose operation is being committed.
+	pendingCommit map[string]bool
+	// orderedHere holds machines for which this leader has submitted an
+	// operation.
+	orderedHere map[string]bool
+	// acceptedAt is when the platform last accepted an order for a machine.
+	acceptedAt map[string]time.Time
+	// endedIncarnation holds the worker incarnation that the last operation on a
+	// machine ended.
+	endedIncarnation map[string]int64
+	// limiter keeps orders within the platform's rate limit.
+	limiter *rate.Limiter
+}
+
+func newMachineState(perSecond float64) *machineState {
+	limiter := rate.NewLimiter(rate.Inf, 0)
+	if perSecond > 0 {
+		limiter = rate.NewLimiter(rate.Limit(platformRateShare*perSecond), max(1, int(perSecond*orderBurstPeriod.Seconds())))
+	}
+	return &machineState{
+		limiter: limiter,
+		cordon:  map[string]time.Time{}, lastOrderAt: map[string]time.Time{}, inFlight: map[string]bool{},
+		draining: map[string]bool{}, listed: map[string]weir.Machine{}, destinations: map[string]destination{},
+		demandHistory: map[weir.PoolName][]demandSample{}, pendingCommit: map[string]bool{}, orderedHere: map[string]bool{}, acceptedAt: map[string]time.Time{}, endedIncarnation: map[string]int64{},
+	}
+}
+
+func (mst *machineState) cordoned(machine string) bool {
+	_, ok := mst.cordon[machine]
+	return ok && machine != ""
+}
+
+func (mst *machineState) anyCordoned(wv *store.Wave) bool {
+	return slices.ContainsFunc(wv.Machines, mst.cordoned)
+}
+
+// unschedulable reports whether a machine gets no new tasks.
+func (mst *machineState) unschedulable(rd store.Reader, machine string) bool {
+	if machine == "" {
+		return false
+	}
+	_, ordered := rd.MachineOperation(machine)
+	return ordered || mst.cordoned(machine) || mst.pendingCommit[machine] || mst.draining[machine]
+}
+
+// updateMachines starts the maintenance that may start now and moves machines
+// between pools.
+func (sc *Scheduler) updateMachines(ctx context.Context, ls *leaderState, now time.Time) {
+	if sc.Machines == nil {
+		return
+	}
+	sc.refreshMachineList(ctx, ls, now)
+	mst := ls.machines
+	sc.Store.Read(func(rd store.Reader) {
+		byMachine := map[string]store.Worker{}
+		rd.EachWorker(func(wk store.Worker) { byMachine[wk.Machine] = wk })
+		numbers := make([]int64, 0, len(rd.Waves()))
+		for number, wv := range rd.Waves() {
+			if !wv.AllStarted() || mst.anyCordoned(wv) {
+				numbers = append(numbers, number)
+			}
+		}
+		slices.Sort(numbers)
+		for _, number := range numbers {
+			sc.advanceWave(ls, rd, rd.Waves()[number], byMachine, now)
+		}
+		sc.rebalance(ls, rd, byMachine, now)
+	})
+}
+
+// orderMachines sends the committed orders that are not known to be done, within
+// the limits on rate and orders in flight.
+func (sc *Scheduler) orderMachines(ctx context.Context, ls *leaderState, now time.Time) {
+	if sc.Machines == nil {
+		return
+	}
+	mst := ls.machines
+	var orders []weir.MachineOrder
+	sc.Store.Read(func(rd store.Reader) { orders = sc.pendingOrders(ls, rd, now) })
+	for _, order := range orders {
+		if len(mst.inFlight) >= maxOrdersInFlight || !mst.limiter.AllowN(now, 1) {
+			return
+		}
+		mst.inFlight[order.Machine] = true
+		mst.lastOrderAt[order.Machine] = now
+		go sc.orderMachine(ctx, ls, order)
+	}
+}
+
+// mayOrder reports whether this leader may send orders for a machine: it has
+// submitted an operation on the machine in this term, or an earlier leader's last order is
+// at least MachineOrderDelay old. An earlier leader may have repeated an order
+// that is not known to be done up to the election.
+func (sc *Scheduler) mayOrder(ls *leaderState, rd store.Reader, machine string, now time.Time) bool {
+	if ls.machines.orderedHere[machine] {
+		return true
+	}
+	last := rd.MachineOperationSeenAt(machine)
+	if _, open := rd.MachineOperation(machine); open && last.Before(ls.since) {
+		last = ls.since
+	}
+	return now.Sub(last) >= sc.MachineOrderDelay
+}
+
+// pendingOrders returns the committed orders that are not known to be done:
+// first moves to active pools, then maintenance, then moves to standby pools.
+func (sc *Scheduler) pendingOrders(ls *leaderState, rd store.Reader, now time.Time) []weir.MachineOrder {
+	mst := ls.machines
+	var orders []weir.MachineOrder
+	rd.EachMachineOperation(func(op store.MachineOperation) {
+		if !mst.inFlight[op.Machine] && now.Sub(mst.lastOrderAt[op.Machine]) >= orderRetryInterval && sc.mayOrder(ls, rd, op.Machine, now) {
+			orders = append(orders, weir.MachineOrder{
+				Machine: op.Machine, Holder: sc.HolderName, Token: ls.term, Wave: op.Wave, Pool: op.Pool,
+			})
+		}
+	})
+	ct := rd.Catalog()
+	urgency := func(order weir.MachineOrder) int {
+		switch po, _ := ct.PoolByName(order.Pool); {
+		case order.Wave != 0:
+			return 1
+		case po.Standby:
+			return 2
+		}
+		return 0
+	}
+	slices.SortFunc(orders, func(one, other weir.MachineOrder) int {
+		return cmp.Or(urgency(one)-urgency(other), cmp.Compare(one.Machine, other.Machine))
+	})
+	return orders
+}
+
+// commitOperation commits an operation on a machine, which will end the machine's
+// current worker. The order is sent once the operation is applied to the state.
+func (sc *Scheduler) commitOperation(ls *leaderState, op store.MachineOperation, wk store.Worker) {
+	mst := ls.machines
+	op.Worker, op.Incarnation = wk.ID, wk.Incarnation
+	mst.pendingCommit[op.Machine] = true
+	mst.orderedHere[op.Machine] = true
+	done := func([]store.Result, error) {
+		sc.mu.Lock()
+		delete(mst.pendingCommit, op.Machine)
+		sc.mu.Unlock()
+		sc.Wake()
+	}
+	if !sc.Committer.Submit([]store.Change{{Machine: &op}}, done) {
+		delete(mst.pendingCommit, op.Machine)
+	}
+}
+
+func boolToInt(val bool) int {
+	if val {
+		return 1
+	}
+	return 0
+}
+
+// maintenanceDone reports whether a machine's maintenance is over: a new worker
+// is usable, or the machine has no worker, as in a standby pool, and the platform
+// lists it as up.
+func (sc *Scheduler) maintenanceDone(ls *leaderState, wk store.Worker, machine string) bool {
+	mst := ls.machines
+	if wk.ID == "" {
+		mc := mst.listed[machine]
+		return mc.State == weir.MachineUp && mst.listedAt.After(mst.acceptedAt[machine])
+	}
+	if mst.endedIncarnation[machine] == wk.Incarnation {
+		return false
+	}
+	ws := ls.sessions[wk.ID]
+	return ws != nil && ws.worker.Incarnation == wk.Incarnation && ws.session.Usable()
+}
+
+func (sc *Scheduler) candidate(ls *leaderState, rd store.Reader, machine string, wk store.Worker) candidate {
+	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: ls.machines.cordoned(machine)}
+	load := rd.Load(wk.ID)
+	ca.batchRuns, ca.longRunning = load.Batch, load.LongRunning
+	return ca
+}
+
+// orderMachine sends one order and records the platform's response.
+func (sc *Scheduler) orderMachine(ctx context.Context, ls *leaderState, order weir.MachineOrder) {
+	defer sc.Wake()
+	callCtx, cancel := context.WithTimeout(ctx, platformTimeout)
+	defer cancel()
+	if !sc.Leadership.Leads() {
+		sc.recordMachineResponse(ls, order, nil)
+		return
+	}
+	resp, err := sc.Machines.Order(callCtx, order)
+	_ = sc.Logger.Log("level", "info", "msg", "machine order sent", "machine", order.Machine, "wave", order.Wave,
+		"pool", order.Pool, "answer", string(resp), "err", err)
+	if err != nil {
+		sc.recordMachineResponse(ls, order, nil)
+		return
+	}
+	op := &store.MachineOperation{Machine: order.Machine, Wave: order.Wave, Pool: order.Pool}
+	switch resp {
+	case weir.MachineAccepted:
+		op.Started = true
+	case weir.MachineRefused:
+		op.NotExecuted = true
+	default:
+		op = nil
+	}
+	sc.recordMachineResponse(ls, order, op)
+}
+
+// recordMachineResponse commits the result of an order; op is nil if the order has to
+// be sent again.
+func (sc *Scheduler) recordMachineResponse(ls *leaderState, order weir.MachineOrder, op *store.MachineOperation) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if op == nil || sc.leader != ls {
+		delete(ls.machines.inFlight, order.Machine)
+		return
+	}
+	changes := []store.Change{{Machine: op}}
+	if op.Started {
+		ls.machines.acceptedAt[order.Machine] = sc.Clock.Now()
+		if order.Pool != "" {
+			ls.machines.destinations[order.Machine] = destination{pool: order.Pool, at: sc.Clock.Now()}
+		}
+		sc.Store.Read(func(rd store.Reader) { changes = append(changes, sc.endIncarnation(ls, rd, order.Machine)...) })
+	}
+	// The machine stays in flight until the response is recorded, since the order
+	// would be sent again otherwise.
+	recorded := func([]store.Result, error) {
+		sc.mu.Lock()
+		delete(ls.machines.inFlight, order.Machine)
+		sc.mu.Unlock()
+		sc.Wake()
+	}
+	if !sc.Committer.Submit(changes, recorded) {
+		delete(ls.machines.inFlight, order.Machine)
+		_ = sc.Logger.Log("level", "warn", "msg", "machine operation not recorded, commit queue full", "machine", order.Machine)
+	}
+}
+
+// endIncarnation returns the changes that end the worker incarnation for which
+// an operation was committed. A later incarnation on the same machine is kept: it
+// exists if an earlier order was carried out but its response was lost.
+func (sc *Scheduler) endIncarnation(ls *leaderState, rd store.Reader, machine string) []store.Change {
+	op, ok := rd.MachineOperation(machine)
+	if !ok || op.Worker == "" {
+		return nil
+	}
+	ls.machines.endedIncarnation[machine] = op.Incarnation
+	wk, ok := rd.Worker(op.Worker)
+	if !ok || wk.Incarnation != op.Incarnation {
+		return nil
+	}
+	return sc.leaveChanges(ls, rd, wk, "machine ordered away")
+}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -16,21 +16,22 @@
 	weir "greengageweir"
 )
 
-// place commits and orders the starts that the plan asks for. Only one plan is
-// under way at a time, since the next must know of its starts.
-func (ow *Scheduler) place(ctx context.Context, re *reign, now time.Time) {
-	if re.planning {
+// placeTasks computes placements, commits them as run starts and then orders the
+// runs. Only one set of starts is in progress at a time, since the next placement
+// must take them into account.
+func (sc *Scheduler) placeTasks(ctx context.Context, ls *leaderState, now time.Time) {
+	if ls.committingStarts {
 		return
 	}
 	var starts []placement.Placement
-	ow.Store.Read(func(rd store.Reader) {
-		demand := ow.demand(rd)
-		if len(demand) == 0 {
+	sc.Store.Read(func(rd store.Reader) {
+		jobs := sc.pendingJobs(rd)
+		if len(jobs) == 0 {
 			return
 		}
-		workers := ow.usable(re, rd, now, demand)
-		groups := ow.ready(ctx, re, rd, demand, roomOf(workers))
-		starts = placement.Place(ow.Wall.Now(), groups, workers)
+		workers := sc.usableWorkers(ls, rd, now, jobs)
+		groups := sc.readyGroups(ctx, ls, rd, jobs, maxFreeByPool(workers))
+		starts = placement.Place(sc.Wall.Now(), groups, workers)
 	})
 	if len(starts) == 0 {
 		return
@@ -39,52 +40,52 @@
 	for ix, pl := range starts {
 		changes[ix] = store.Change{Start: &store.RunStart{Task: pl.Task, Run: pl.Run, Worker: pl.Worker, Incarnation: pl.Incarnation}}
 	}
-	re.planning = true
+	ls.committingStarts = true
 	for _, pl := range starts {
-		re.starting[weir.RunKey{Task: pl.Task, Run: pl.Run}] = true
+		ls.pendingStarts[weir.RunKey{Task: pl.Task, Run: pl.Run}] = true
 	}
-	if !ow.Committer.Submit(changes, func(answers []store.Result, err error) { ow.started(re, starts, answers, err) }) {
-		re.planned()
+	if !sc.Committer.Submit(changes, func(results []store.Result, err error) { sc.orderStarts(ls, starts, results, err) }) {
+		ls.clearPendingStarts()
 	}
 }
 
-// planned notes that no starts are being committed any more.
-func (re *reign) planned() {
-	re.planning = false
-	clear(re.starting)
+// clearPendingStarts records that no starts are being committed any more.
+func (ls *leaderState) clearPendingStarts() {
+	ls.committingStarts = false
+	clear(ls.pendingStarts)
 }
 
-// started orders the runs whose intents are committed. It runs on the
+// orderStarts orders the runs whose starts have been committed. It runs on the
 // committer's goroutine.
-func (ow *Scheduler) started(re *reign, starts []placement.Placement, answers []store.Result, err error) {
-	defer ow.Wake()
-	ow.mu.Lock()
-	defer ow.mu.Unlock()
-	defer re.planned()
-	if err != nil || ow.reign != re {
-		_ = ow.Logger.Log("level", "warn", "msg", "starts not committed", "count", len(starts), "err", err)
+func (sc *Scheduler) orderStarts(ls *leaderState, starts []placement.Placement, results []store.Result, err error) {
+	defer sc.Wake()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	defer ls.clearPendingStarts()
+	if err != nil || sc.leader != ls {
+		_ = sc.Logger.Log("level", "warn", "msg", "run starts not committed", "count", len(starts), "err", err)
 		return
 	}
 	placed := map[weir.TaskRef][]weir.InstanceID{}
-	ow.Store.Read(func(rd store.Reader) {
+	sc.Store.Read(func(rd store.Reader) {
 		for ix, pl := range starts {
-			if !answers[ix].Applied {
-				_ = ow.Logger.Log("level", "info", "msg", "start not taken", "job", pl.Task.Job, "task", pl.Task,
-					"run", pl.Run, "worker", pl.Worker, "reason", answers[ix].Reason)
+			if !results[ix].Applied {
+				_ = sc.Logger.Log("level", "info", "msg", "run start rejected", "job", pl.Task.Job, "task", pl.Task,
+					"run", pl.Run, "worker", pl.Worker, "reason", results[ix].Reason)
 				continue
 			}
-			ow.order(re, rd, pl)
+			sc.orderRun(ls, rd, pl)
 			placed[pl.Task.StepRef()] = append(placed[pl.Task.StepRef()], pl.Worker)
 		}
 	})
 	for step, workers := range placed {
-		_ = ow.Logger.Log("level", "info", "msg", "tasks placed", "job", step.Job, "step", step, "count", len(workers),
-			"workers", strings.Join(names(workers), " "))
+		_ = sc.Logger.Log("level", "info", "msg", "tasks placed", "job", step.Job, "step", step, "count", len(workers),
+			"workers", strings.Join(workerNames(workers), " "))
 	}
 }
 
-// names lists workers without repeating one that stands several times in a row.
-func names(workers []weir.InstanceID) []string {
+// workerNames returns the names of workers without consecutive duplicates.
+func workerNames(workers []weir.InstanceID) []string {
 	var out []string
 	for _, id := range slices.Compact(workers) {
 		out = append(out, string(id))
@@ -92,10 +93,11 @@
 	return out
 }
 
-func (ow *Scheduler) order(re *reign, rd store.Reader, pl placement.Placement) {
-	at := re.sessions[pl.Worker]
+// orderRun orders a committed run start, unless its job or worker is gone meanwhile.
+func (sc *Scheduler) orderRun(ls *leaderState, rd store.Reader, pl placement.Placement) {
+	ws := ls.sessions[pl.Worker]
 	js := rd.Job(pl.Task.Job)
-	if at == nil || at.worker.Incarnation != pl.Incarnation || js == nil || js.Phase.Terminal() {
+	if ws == nil || ws.worker.Incarnation != pl.Incarnation || js == nil || js.Phase.Terminal() {
 		return
 	}
 	key := weir.RunKey{Task: pl.Task, Run: pl.Run}
@@ -103,69 +105,69 @@
 		return
 	}
 	order := weir.RunOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
-	if ad := re.advice[pl.Task.StepRef()]; ad != nil {
+	if ad := ls.advice[pl.Task.StepRef()]; ad != nil {
 		order.Ticket = ad.tickets[pl.Worker]
 	}
-	at.ss.Start(order)
+	ws.session.Start(order)
 	metrics.GetOrCreateCounter("weir_runs_ordered_total").Inc()
-	_ = ow.Logger.Log("level", "debug", "msg", "run ordered", "job", pl.Task.Job, "task", pl.Task, "run", pl.Run,
+	_ = sc.Logger.Log("level", "debug", "msg", "run ordered", "job", pl.Task.Job, "task", pl.Task, "run", pl.Run,
 		"worker", pl.Worker, "checkpoint", order.Checkpoint)
 }
 
-// demanded is a job that may have tasks to place, and its queue.
-type demanded struct {
+// pendingJob is a job that may have tasks to place, and its queue.
+type pendingJob struct {
 	job   *store.JobState
 	queue catalog.Queue
 }
 
-// demand lists the jobs that may have tasks to place.
-func (ow *Scheduler) demand(rd store.Reader) []demanded {
-	var out []demanded
+// pendingJobs returns the jobs that may have tasks to place.
+func (sc *Scheduler) pendingJobs(rd store.Reader) []pendingJob {
+	var out []pendingJob
 	rd.EachActiveJob(func(js *store.JobState) {
 		if js.Phase.Terminal() || !js.MayNeedPlacement() {
 			return
 		}
 		if qu, ok := rd.Queue(js.Spec.Queue); ok {
-			out = append(out, demanded{job: js, queue: qu})
+			out = append(out, pendingJob{job: js, queue: qu})
 		}
 	})
 	return out
 }
 
-// roomOf returns, for each pool, the most that any of its workers has free of
-// each kind of room. What does not fit there need not be looked at further.
-func roomOf(workers []placement.Worker) map[weir.PoolName]spec.Resources {
-	room := map[weir.PoolName]spec.Resources{}
+// maxFreeByPool returns, for each pool and each resource, the maximum that is free
+// on any of its workers. Steps that do not fit into it can be skipped.
+func maxFreeByPool(workers []placement.Worker) map[weir.PoolName]spec.Resources {
+	free := map[weir.PoolName]spec.Resources{}
 	for _, wk := range workers {
-		most := room[wk.Pool]
-		room[wk.Pool] = spec.Resources{
-			MilliCPU: max(most.MilliCPU, wk.Free.MilliCPU), MemoryMB: max(most.MemoryMB, wk.Free.MemoryMB), GPU: max(most.GPU, wk.Free.GPU),
+		largest := free[wk.Pool]
+		free[wk.Pool] = spec.Resources{
+			MilliCPU: max(largest.MilliCPU, wk.Free.MilliCPU), MemoryMB: max(largest.MemoryMB, wk.Free.MemoryMB), GPU: max(largest.GPU, wk.Free.GPU),
 		}
 	}
-	return room
+	return free
 }
 
-// ready lists the steps with tasks that may start now.
-func (ow *Scheduler) ready(ctx context.Context, re *reign, rd store.Reader, demand []demanded, room map[weir.PoolName]spec.Resources) []placement.Group {
+// readyGroups returns the steps with tasks that may start now.
+func (sc *Scheduler) readyGroups(ctx context.Context, ls *leaderState, rd store.Reader, jobs []pendingJob, free map[weir.PoolName]spec.Resources) []placement.Group {
 	var groups []placement.Group
-	wall := ow.Wall.Now()
-	for _, dm := range demand {
+	wall := sc.Wall.Now()
+	for _, dm := range jobs {
 		js, qu := dm.job, dm.queue
 		for oc := range js.Occurrences {
 			if due := js.Spec.DueAt(oc); due.After(wall) {
 				break
 			}
 			for sp := range js.Occurrences[oc] {
-				if !js.Spec.Steps[sp].Reserved().Fits(room[qu.Pool]) {
+				if !js.Spec.Steps[sp].Reserved().Fits(free[qu.Pool]) {
 					continue
 				}
-				gr, ok := ow.group(re, js, qu, oc, sp)
+				gr, ok := sc.group(ls, js, qu, oc, sp)
 				if !ok {
 					continue
 				}
-				gr.RemainingWork = workLeft(js, oc)
+				gr.RemainingWork = remainingWork(js, oc)
 				if qu.Advice != nil {
-					if gr.AllowedWorkers = ow.tickets(ctx, re, rd, gr.Step, qu); gr.AllowedWorkers == nil {
+					if gr.AllowedWorkers = sc.tickets(ctx, ls, rd, gr.Step, qu); gr.AllowedWorkers == nil {
 						continue
 					}
 				}
@@ -176,9 +178,9 @@
 	return groups
 }
 
-// workLeft sums up what is not done of one occurrence, in core-seconds by the
-// caller's estimates.
-func workLeft(js *store.JobState, oc int) float64 {
+// remainingWork returns the unfinished work of one occurrence in core-seconds,
+// based on the caller's estimates.
+func remainingWork(js *store.JobState, oc int) float64 {
 	work := 0.0
 	for sp, ss := range js.Occurrences[oc] {
 		step := js.Spec.Steps[sp]
@@ -187,7 +189,9 @@
 	return work
 }
 
-func (ow *Scheduler) group(re *reign, js *store.JobState, qu catalog.Queue, oc, sp int) (placement.Group, bool) {
+// group returns the tasks of a step that may start now; it reports false if there are
+// none.
+func (sc *Scheduler) group(ls *leaderState, js *store.JobState, qu catalog.Queue, oc, sp int) (placement.Group, bool) {
 	ss := &js.Occurrences[oc][sp]
 	if ss.TasksLeft == 0 || !js.StepReady(oc, sp) {
 		return placement.Group{}, false
@@ -196,7 +200,7 @@
 	ref := spec.TaskRef{Job: js.Spec.ID, Occurrence: oc, Step: sp}
 	gr := placement.Group{
 		Step: ref, Spec: step, Pool: qu.Pool, Priority: qu.Priority,
-		StartBy: startBy(js.Spec, js.Accepted, qu, oc, sp), RunsByWorker: map[weir.InstanceID]int{},
+		StartBy: latestStart(js.Spec, js.Accepted, qu, oc, sp), RunsByWorker: map[weir.InstanceID]int{},
 	}
 	highest := 0
 	for ix := range ss.Tasks {
@@ -212,7 +216,7 @@
 			if tk.EndedAt.After(since) {
 				since = tk.EndedAt
 			}
-			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, AvoidWorker: re.avoid[ref], WaitingSince: since})
+			gr.Tasks = append(gr.Tasks, placement.Task{Index: ix, Run: tk.Run + 1, Checkpoint: tk.Checkpoint, AvoidWorker: ls.avoidWorker[ref], WaitingSince: since})
 		}
 	}
 	if step.Gang {
@@ -226,9 +230,9 @@
 	return gr, len(gr.Tasks) > 0
 }
 
-// startBy returns when a step must start for its job to meet its objective,
-// going by the caller's estimates.
-func startBy(jb spec.Job, accepted time.Time, qu catalog.Queue, oc, sp int) time.Time {
+// latestStart returns when a step must start for its job to meet its objective,
+// based on the caller's estimates.
+func latestStart(jb spec.Job, accepted time.Time, qu catalog.Queue, oc, sp int) time.Time {
 	due := jb.DueAt(oc)
 	if due.IsZero() {
 		due = accepted
@@ -247,26 +251,26 @@
 	return objective.Add(-rest[sp])
 }
 
-// workerView is a worker as the plan sees it.
+// workerView is a worker as seen by the placement.
 type workerView = placement.Worker
 
-// usable lists the workers that can take tasks of some jobs now.
-func (ow *Scheduler) usable(re *reign, rd store.Reader, now time.Time, demand []demanded) []placement.Worker {
+// usableWorkers returns the workers that can take tasks of the given jobs now.
+func (sc *Scheduler) usableWorkers(ls *leaderState, rd store.Reader, now time.Time, jobs []pendingJob) []placement.Worker {
 	pools := map[weir.PoolName]bool{}
-	for _, dm := range demand {
+	for _, dm := range jobs {
 		pools[dm.queue.Pool] = true
 	}
-	workers := make([]placement.Worker, 0, len(re.sessions))
-	for id, at := range re.sessions {
-		if !pools[at.worker.Pool] {
+	workers := make([]placement.Worker, 0, len(ls.sessions))
+	for id, ws := range ls.sessions {
+		if !pools[ws.worker.Pool] {
 			continue
 		}
 		wk, ok := rd.Worker(id)
-		if !ok || wk.Draining || wk.Incarnation != at.worker.Incarnation || !at.ss.Usable() || re.machines.closed(rd, wk.Machine) {
+		if !ok || wk.Draining || wk.Incarnation != ws.worker.Incarnation || !ws.session.Usable() || ls.machines.unschedulable(rd, wk.Machine) {
 			continue
 		}
-		hl := re.health[id]
-		if hl.resting(now) {
+		hl := ls.health[id]
+		if hl.inBackoff(now) {
 			continue
 		}
 		pw := placement.Worker{ID: id, Incarnation: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
--- a/internal/job/scheduler/progress.go
+++ b/internal/job/scheduler/progress.go
@@ -10,85 +10,87 @@
 )
 
 const (
-	// stallAfter is how long a run may show no progress, if at its expected
-	// speed it would have shown stallShare percent. Reports come at least once
-	// a second.
+	// stallAfter is how long a run may make no progress, provided that at its
+	// expected speed it would have made stallShare percent meanwhile. Reports
+	// arrive at least once a second.
 	stallAfter = 1300 * time.Millisecond
 	stallShare = 10
-	// slowShare is the share of the expected progress under which a run is
-	// slow: estimates and the tasks of a step differ by some tens of percent,
-	// slow workers by a factor of several.
+	// slowShare is the fraction of the expected progress below which a run is
+	// slow. Estimates and the tasks of a step vary by some tens of percent, while
+	// a slow worker is several times slower.
 	slowShare = 0.4
-	// slowAfter is how long a run is watched before it is judged.
+	// slowAfter is how long a run is observed before it is classified.
 	slowAfter = 700 * time.Millisecond
-	// slowFor is how long a worker with a slow run is used last.
-	slowFor = 3 * time.Second
-	// fullProgress is the percent of a task that is done.
+	// slowWorkerPeriod is how long a worker with a slow run is suspect, so that
+	// other workers are preferred.
+	slowWorkerPeriod = 3 * time.Second
+	// fullProgress is the progress of a finished task, in percent.
 	fullProgress = 100
 )
 
-// progress is what was seen of one run.
+// progress is the observed progress of one run.
 type progress struct {
-	since   time.Time // first seen
-	from    int       // percent then
-	percent int
-	changed time.Time // when percent rose last
+	since        time.Time // first report
+	firstPercent int       // percent in the first report
+	percent      int
+	progressedAt time.Time // when percent last increased
 }
 
-// seen returns the progress after a report.
-func (pg progress) seen(percent int, at time.Time) progress {
+// update returns the progress after a report.
+func (pg progress) update(percent int, at time.Time) progress {
 	if pg.since.IsZero() {
-		return progress{since: at, from: percent, percent: percent, changed: at}
+		return progress{since: at, firstPercent: percent, percent: percent, progressedAt: at}
 	}
 	if percent > pg.percent {
-		pg.percent, pg.changed = percent, at
+		pg.percent, pg.progressedAt = percent, at
 	}
 	return pg
 }
 
-// speed is the verdict on a run's progress.
-type speed int
+// runSpeed classifies a run's progress.
+type runSpeed int
 
 const (
-	speedGood speed = iota
-	// speedSlow runs may be left to end, but their worker is used last.
+	speedNormal runSpeed = iota
+	// speedSlow runs go on, but their worker becomes suspect.
 	speedSlow
-	// speedHopeless runs would end sooner if they started anew elsewhere.
-	speedHopeless
+	// speedStalled runs would end sooner if they were restarted elsewhere.
+	speedStalled
 )
 
-// judge compares a run's progress with the estimate of a sound run.
-func (pg progress) judge(now time.Time, estimate time.Duration) speed {
-	watched := now.Sub(pg.since)
-	if estimate <= 0 || watched < slowAfter {
-		return speedGood
+// classify compares a run's progress with the estimate for a healthy worker.
+func (pg progress) classify(now time.Time, estimate time.Duration) runSpeed {
+	observed := now.Sub(pg.since)
+	if estimate <= 0 || observed < slowAfter {
+		return speedNormal
 	}
-	still := now.Sub(pg.changed)
-	if still > stallAfter && still.Seconds()/estimate.Seconds()*fullProgress > stallShare {
-		return speedHopeless
+	sinceProgress := now.Sub(pg.progressedAt)
+	if sinceProgress > stallAfter && sinceProgress.Seconds()/estimate.Seconds()*fullProgress > stallShare {
+		return speedStalled
 	}
-	expected := watched.Seconds() / estimate.Seconds() * fullProgress
-	made := float64(pg.percent - pg.from)
+	expected := observed.Seconds() / estimate.Seconds() * fullProgress
+	made := float64(pg.percent - pg.firstPercent)
 	if made >= slowShare*expected {
-		return speedGood
+		return speedNormal
 	}
 	if made <= 0 {
 		return speedSlow
 	}
-	rest := time.Duration(float64(fullProgress-pg.percent) / made * float64(watched))
-	if rest > 2*estimate {
-		return speedHopeless
+	remaining := time.Duration(float64(fullProgress-pg.percent) / made * float64(observed))
+	if remaining > 2*estimate {
+		return speedStalled
 	}
 	return speedSlow
 }
 
-// watch looks at the progress of what runs: runs that stand still or crawl are
-// stopped and go on elsewhere, and their workers are used last for a while.
-func (ow *Scheduler) watch(re *reign) {
-	fresh := make(map[weir.RunKey]progress, len(re.watched))
-	ow.Store.Read(func(rd store.Reader) {
-		for id, at := range re.sessions {
-			arrived, running := at.ss.Running()
+// checkProgress checks the progress of all runs: stalled runs are stopped and
+// restarted elsewhere, and the workers of slow or stalled runs become suspect for
+// a while.
+func (sc *Scheduler) checkProgress(ls *leaderState) {
+	current := make(map[weir.RunKey]progress, len(ls.runProgress))
+	sc.Store.Read(func(rd store.Reader) {
+		for id, ws := range ls.sessions {
+			reportedAt, running := ws.session.Running()
 			runs := rd.Runs(id)
 			for _, rt := range running {
 				if _, ok := runs[rt.RunKey]; !ok {
@@ -99,28 +101,28 @@
 				if js.Phase.Terminal() || step.LongRunning || step.Gang {
 					continue
 				}
-				pg := re.watched[rt.RunKey].seen(rt.Percent, arrived)
-				fresh[rt.RunKey] = pg
-				ow.judge(re, id, rt.RunKey, pg, step, arrived)
+				pg := ls.runProgress[rt.RunKey].update(rt.Percent, reportedAt)
+				current[rt.RunKey] = pg
+				sc.handleProgress(ls, id, rt.RunKey, pg, step, reportedAt)
 			}
 		}
 	})
-	re.watched = fresh
+	ls.runProgress = current
 }
 
-func (ow *Scheduler) judge(re *reign, id weir.InstanceID, key weir.RunKey, pg progress, step spec.Step, arrived time.Time) {
-	verdict := pg.judge(arrived, step.Estimate)
-	if verdict == speedGood || re.slow[key.Task] {
-		// A task that was slow elsewhere too is long by itself.
+func (sc *Scheduler) handleProgress(ls *leaderState, id weir.InstanceID, key weir.RunKey, pg progress, step spec.Step, reportedAt time.Time) {
+	speed := pg.classify(reportedAt, step.Estimate)
+	if speed == speedNormal || ls.stoppedSlow[key.Task] {
+		// A task that was slow on another worker too is longer than estimated.
 		return
 	}
-	hl := re.healthOf(id)
-	hl.slowUntil = arrived.Add(slowFor)
-	if verdict == speedHopeless && !re.evicted[key] {
-		re.avoid[key.Task] = id
-		re.slow[key.Task] = true
-		_ = ow.Logger.Log("level", "info", "msg", "run too slow", "job", key.Task.Job, "task", key.Task, "run", key.Run,
-			"worker", id, "percent", pg.percent, "watched", arrived.Sub(pg.since).String(), "estimate", step.Estimate.String())
-		ow.evict(re, id, key)
+	hl := ls.healthOf(id)
+	hl.slowUntil = reportedAt.Add(slowWorkerPeriod)
+	if speed == speedStalled && !ls.evicted[key] {
+		ls.avoidWorker[key.Task] = id
+		ls.stoppedSlow[key.Task] = true
+		_ = sc.Logger.Log("level", "info", "msg", "run too slow", "job", key.Task.Job, "task", key.Task, "run", key.Run,
+			"worker", id, "percent", pg.percent, "watched", reportedAt.Sub(pg.since).String(), "estimate", step.Estimate.String())
+		sc.evict(ls, id, key)
 	}
 }
--- /dev/null
+++ b/internal/job/scheduler/rebalance.go
@@ -0,0 +1,231 @@
+package scheduler
+
+import (
+	"context"
+	"time"
+
+	"greengageweir/internal/capacity/balance"
+	"greengageweir/internal/job/store"
+
+	weir "greengageweir"
+)
+
+const (
+	// machineListInterval is the time between requests for the platform's list of
+	// machines. The list is the only source for machines without a worker.
+	machineListInterval = 2 * time.Second
+	// destinationTTL is how long a machine without a worker counts for the pool to
+	// which it was sent, which is much longer than a move takes.
+	destinationTTL = 4 * time.Second
+	// maxEstimate limits a caller's estimate of one task.
+	maxEstimate = 30 * time.Second
+)
+
+// destination is the pool to which a machine was sent, and when.
+type destination struct {
+	pool weir.PoolName
+	at   time.Time
+}
+
+// demandSample is the number of machines that a pool needed at a time.
+type demandSample struct {
+	at       time.Time
+	machines int
+}
+
+// refreshMachineList requests the platform's list of machines in the background.
+func (sc *Scheduler) refreshMachineList(ctx context.Context, ls *leaderState, now time.Time) {
+	mst := ls.machines
+	if mst.listing || now.Sub(mst.listedAt) < machineListInterval {
+		return
+	}
+	mst.listing = true
+	go func() {
+		callCtx, cancel := context.WithTimeout(ctx, platformTimeout)
+		defer cancel()
+		machines, err := sc.Machines.Machines(callCtx)
+		sc.mu.Lock()
+		defer sc.mu.Unlock()
+		mst.listing = false
+		mst.listedAt = now
+		if err != nil {
+			_ = sc.Logger.Log("level", "warn", "msg", "cannot list machines", "err", err)
+			return
+		}
+		mst.listed = make(map[string]weir.Machine, len(machines))
+		for _, mc := range machines {
+			mst.listed[mc.Name] = mc
+		}
+	}()
+}
+
+// rebalance moves machines to the pools that need them.
+func (sc *Scheduler) rebalance(ls *leaderState, rd store.Reader, byMachine map[string]store.Worker, now time.Time) {
+	mst := ls.machines
+	loads := sc.poolLoads(rd)
+	machines := sc.balanceMachines(ls, rd, byMachine, now)
+	have := map[weir.PoolName]int{}
+	cordoned := map[weir.PoolName]int{}
+	for _, mc := range machines {
+		have[mc.Pool]++
+		if mst.cordoned(mc.Name) {
+			cordoned[mc.Pool]++
+		}
+	}
+	var pools []balance.Pool
+	mst.shortage = false
+	for _, po := range rd.Catalog().Pools {
+		pl := balance.Pool{Name: po.Name, Standby: po.Standby}
+		if !po.Standby {
+			// Cordoned machines take no tasks.
+			pl.Desired = balance.MachinesNeeded(loads[po.Name]) + cordoned[po.Name]
+			pl.LendFloor, pl.ReleaseFloor = mst.peakDemand(po.Name, pl.Desired, now)
+			if now.Sub(ls.since) < balance.ReleaseHold {
+				// A new leader does not know the pool's recent demand yet.
+				pl.ReleaseFloor = max(pl.ReleaseFloor, have[po.Name])
+			}
+			mst.shortage = mst.shortage || pl.Desired > have[po.Name]
+		}
+		pools = append(pools, pl)
+	}
+	dec := balance.Decide(pools, machines)
+	mst.draining = make(map[string]bool, len(dec.Draining))
+	for _, name := range dec.Draining {
+		mst.draining[name] = true
+	}
+	for _, mv := range dec.Moves {
+		load := loads[mv.To]
+		_ = sc.Logger.Log("level", "info", "msg", "machine move submitted", "machine", mv.Machine, "to", mv.To, "have", have[mv.To],
+			"busy", load.Busy, "waiting", load.Waiting, "rate", load.ArrivalRate, "lasting", load.LongRunning)
+		mst.lastOrderAt[mv.Machine] = time.Time{}
+		sc.commitOperation(ls, store.MachineOperation{Machine: mv.Machine, Pool: mv.To}, byMachine[mv.Machine])
+	}
+}
+
+// peakDemand records the machines that a pool needs now and returns the maximum that
+// it needed within balance.LendHold and balance.ReleaseHold.
+func (mst *machineState) peakDemand(pool weir.PoolName, needed int, now time.Time) (lendFloor, releaseFloor int) {
+	recent := mst.demandHistory[pool]
+	recent = append(recent, demandSample{at: now, machines: needed})
+	for now.Sub(recent[0].at) > balance.ReleaseHold {
+		recent = recent[1:]
+	}
+	mst.demandHistory[pool] = recent
+	for _, nd := range recent {
+		releaseFloor = max(releaseFloor, nd.machines)
+		if now.Sub(nd.at) <= balance.LendHold {
+			lendFloor = max(lendFloor, nd.machines)
+		}
+	}
+	return lendFloor, releaseFloor
+}
+
+// poolLoads returns the load that the queues of each pool put on it.
+func (sc *Scheduler) poolLoads(rd store.Reader) map[weir.PoolName]balance.Load {
+	wall := sc.Wall.Now()
+	loads := map[weir.PoolName]balance.Load{}
+	largest := 0
+	rd.EachWorker(func(wk store.Worker) {
+		ld := loads[wk.Pool]
+		ld.MachineCapacity = max(ld.MachineCapacity, wk.Capacity.MilliCPU)
+		largest = max(largest, ld.MachineCapacity)
+		loads[wk.Pool] = ld
+	})
+	rd.EachActiveJob(func(js *store.JobState) {
+		qu, ok := rd.Queue(js.Spec.Queue)
+		if !ok || js.Phase.Terminal() {
+			return
+		}
+		ld := loads[qu.Pool]
+		ld.MachineCapacity = max(ld.MachineCapacity, largest)
+		addLoad(&ld, js, wall)
+		loads[qu.Pool] = ld
+	})
+	return loads
+}
+
+func addLoad(ld *balance.Load, js *store.JobState, wall time.Time) {
+	recent := wall.Sub(js.Accepted) < balance.ArrivalWindow
+	for oc, steps := range js.Occurrences {
+		if js.Spec.DueAt(oc).After(wall) {
+			break
+		}
+		for sp := range steps {
+			step := js.Spec.Steps[sp]
+			cpu := step.Reserved().MilliCPU
+			if cpu > ld.MachineCapacity {
+				continue // larger than any machine
+			}
+			if step.LongRunning {
+				ld.LongRunning += cpu * step.Count
+				ld.MinMachines = max(ld.MinMachines, step.MinWorkers())
+				continue
+			}
+			if recent {
+				work := float64(cpu*step.Count) * min(step.Estimate, maxEstimate).Seconds()
+				ld.ArrivalRate += int(work / balance.ArrivalWindow.Seconds())
+			}
+			ready := js.StepReady(oc, sp)
+			for ix := range steps[sp].Tasks {
+				switch tk := &steps[sp].Tasks[ix]; {
+				case tk.Placed():
+					ld.Busy += cpu
+				case !tk.Done && ready:
+					ld.Waiting += cpu
+				}
+			}
+		}
+	}
+}
+
+// balanceMachines returns the machines with their pools and loads, as input for
+// the balance package.
+func (sc *Scheduler) balanceMachines(ls *leaderState, rd store.Reader, byMachine map[string]store.Worker, now time.Time) []balance.Machine {
+	mst := ls.machines
+	var out []balance.Machine
+	for name, wk := range byMachine {
+		if name == "" {
+			continue
+		}
+		ws := ls.sessions[wk.ID]
+		if ws == nil || ws.session.Unreachable() || wk.Draining {
+			continue // takes no tasks now
+		}
+		mc := balance.Machine{Name: name, Pool: wk.Pool}
+		ca := sc.candidate(ls, rd, name, wk)
+		mc.Runs = ca.batchRuns
+		mc.Movable = ca.longRunning == 0 && ws.session.Usable() && !mst.operationPending(rd, name) && sc.mayOrder(ls, rd, name, now)
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
+			mc.Pool = op.Pool
+		}
+		out = append(out, mc)
+	}
+	for name, listed := range mst.listed {
+		if _, ok := byMachine[name]; ok {
+			continue
+		}
+		mc := balance.Machine{Name: name, Pool: listed.Pool, Movable: listed.State == weir.MachineUp && !mst.operationPending(rd, name) && sc.mayOrder(ls, rd, name, now)}
+		if po, ok := rd.Catalog().PoolByName(listed.Pool); !ok || !po.Standby {
+			// Outside standby pools, a machine without a worker is moving or lost.
+			mc.Movable = false
+			if listed.State == weir.MachineDown {
+				continue
+			}
+		}
+		if to, ok := mst.destinations[name]; ok && to.at.After(mst.listedAt.Add(-machineListInterval)) && now.Sub(to.at) < destinationTTL {
+			mc.Pool, mc.Movable = to.pool, false
+		}
+		if op, ok := rd.MachineOperation(name); ok && op.Pool != "" {
+			mc.Pool, mc.Movable = op.Pool, false
+		}
+		out = append(out, mc)
+	}
+	return out
+}
+
+// operationPending reports whether an operation on a machine is in progress or
+// about to be committed.
+func (mst *machineState) operationPending(rd store.Reader, machine string) bool {
+	_, ordered := rd.MachineOperation(machine)
+	return ordered || mst.pendingCommit[machine] || mst.cordoned(machine)
+}
--- /dev/null
+++ b/internal/job/scheduler/scheduler.go
@@ -0,0 +1,416 @@
+// Package scheduler runs jobs while its process is the leader of the replicated
+// log: it keeps a session with each worker, places ready tasks, records how runs
+// end, stops runs that are no longer wanted, and schedules maintenance and moves
+// of machines. Every decision that a later leader must know is committed to the
+// log before it takes effect.
+//
+// Usage:
+//
+//	sc := &scheduler.Scheduler{Store: st, Committer: cm, Leadership: nd, Workers: calls, ...}
+//	go sc.Run(ctx)
+package scheduler
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"greengageweir/internal/contract/jobapi"
+	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/job/store"
+	"greengageweir/internal/task/session"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/go-kit/log"
+
+	weir "greengageweir"
+)
+
+// Kind classifies the errors of this package.
+type Kind string
+
+// The kinds of errors.
+const (
+	KindBusy     Kind = "too many changes wait"
+	KindInternal Kind = "internal"
+)
+
+// Error is the error type of this package.
+type Error = errkind.Error[Kind]
+
+const (
+	// minRoundInterval is the minimum pause between two scheduling rounds, so
+	// that events that arrive together are handled in one round. After a longer
+	// round the pause lasts as long as the round, which leaves half of a
+	// processor for orders and reports.
+	minRoundInterval = 3 * time.Millisecond
+	// maxRoundInterval is the maximum time between two scheduling rounds.
+	maxRoundInterval = 100 * time.Millisecond
+	// reconcileInterval is how often a worker without changes is reconciled, so
+	// that orders are sent again: the shortest of their timeouts is 500 ms.
+	reconcileInterval = 300 * time.Millisecond
+	// leadershipPollInterval is how often a process checks whether it leads.
+	leadershipPollInterval = 30 * time.Millisecond
+	// priorLeaderGrace is how long after an election an earlier leader may still
+	// grant leases: it stops when it has not heard from a majority for an
+	// election timeout, and a reply may have been in flight.
+	priorLeaderGrace = time.Second
+)
+
+// Leadership reports whether this process is certain to lead, and in which term.
+type Leadership interface {
+	weir.Leadership
+	// Term returns the term in which this process leads, 0 if it does not lead.
+	Term() uint64
+}
+
+// Scheduler places tasks on workers and orders machines while its process leads.
+// Set the exported fields before Run.
+type Scheduler struct {
+	Store      *store.Store
+	Committer  *Committer
+	Leadership Leadership
+	Workers    weir.TaskWorkers
+	// Machines is the platform that maintains and moves machines; nil disables
+	// maintenance and moves.
+	Machines weir.MachinePlatform
+	// MachineOrderRate is how many orders a second the platform accepts; 0 means
+	// no limit.
+	MachineOrderRate float64
+	// Adviser issues placement tickets; nil if no queue needs them.
+	Adviser weir.Adviser
+	// Clock is monotonic and includes time in which the machine was suspended;
+	// Wall is the time of day.
+	Clock  weir.Clock
+	Wall   weir.Clock
+	Logger log.Logger
+	// Lease is how long a worker may keep running tasks without a renewal.
+	Lease time.Duration
+	// Retention is how long the state of an ended job can be queried.
+	Retention time.Duration
+	// OnLeadershipChange is called when this process gains or loses leadership;
+	// it may be nil.
+	OnLeadershipChange func(leads bool)
+	// HolderName identifies this process to the machine platform.
+	HolderName string
+	// MachineOrderDelay is how long after an election, or after an earlier
+	// leader's order for a machine, this leader sends that machine no order.
+	MachineOrderDelay time.Duration
+
+	wake chan struct{}
+
+	mu     sync.Mutex
+	leader *leaderState // nil while another process leads
+}
+
+// leaderState is the state that a leader keeps in memory for one term, beside
+// the replicated state.
+type leaderState struct {
+	term  uint64
+	since time.Time
+	// workersRevision is the store's count of worker changes that the sessions
+	// reflect.
+	workersRevision uint64
+	sessions        map[weir.InstanceID]*workerSession
+	// committingStarts is set while the run starts in pendingStarts are being
+	// committed.
+	committingStarts bool
+	pendingStarts    map[weir.RunKey]bool
+	// maintenanceCheckedAt is when waves and moves were last evaluated.
+	maintenanceCheckedAt time.Time
+	health               map[weir.InstanceID]*health
+	avoidWorker          map[weir.TaskRef]weir.InstanceID
+	throttles            map[weir.InstanceID]*throttle
+	machines             *machineState
+	// evicted holds runs to stop so that their tasks are rescheduled elsewhere.
+	evicted map[weir.RunKey]bool
+	// stoppedSlow holds tasks of which a run was stopped for lack of progress.
+	stoppedSlow map[weir.TaskRef]bool
+	// advice caches the adviser's responses by step; adviceInFlight is set while
+	// a request to it is in flight.
+	advice         map[weir.TaskRef]*adviceEntry
+	adviceInFlight bool
+	// runProgress holds the observed progress of the current runs.
+	runProgress map[weir.RunKey]progress
+}
+
+// workerSession is the session with one incarnation of a worker.
+type workerSession struct {
+	session *session.Session
+	worker  store.Worker
+	cancel  context.CancelFunc
+	// dirty is set if the worker has changes to reconcile; reconciledAt is when
+	// it was last reconciled.
+	dirty        bool
+	reconciledAt time.Time
+	// removalInFlight is set while the end of this incarnation is being
+	// committed.
+	removalInFlight bool
+	// announcedAt is when the worker last announced itself, sequence the number
+	// of that announcement.
+	announcedAt time.Time
+	sequence    int64
+}
+
+// String returns the component's name for logs.
+func (sc *Scheduler) String() string { return "job scheduler" }
+
+// Default sets defaults and validates the settings.
+func (sc *Scheduler) Default() error {
+	sc.wake = make(chan struct{}, 1)
+	if sc.Logger == nil {
+		sc.Logger = log.NewNopLogger()
+	}
+	if sc.Lease <= 0 || sc.Retention <= 0 {
+		return &Error{Op: "default", Kind: KindInternal}
+	}
+	return nil
+}
+
+// Wake triggers a scheduling round soon; it never blocks.
+func (sc *Scheduler) Wake() {
+	select {
+	case sc.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run schedules whenever this process leads, until the context ends.
+func (sc *Scheduler) Run(ctx context.Context) error {
+	ticker := time.NewTicker(leadershipPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+			if term := sc.Leadership.Term(); term != 0 {
+				sc.runTerm(ctx, term)
+			}
+		}
+	}
+}
+
+// runTerm runs scheduling rounds until the term ends.
+func (sc *Scheduler) runTerm(ctx context.Context, term uint64) {
+	// Once an entry of this term is applied, all earlier entries are applied too.
+	if _, err := sc.Committer.Commit(ctx, store.Change{}); err != nil || sc.Leadership.Term() != term {
+		return
+	}
+	leadCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	ls := &leaderState{
+		term: term, since: sc.Clock.Now(), sessions: map[weir.InstanceID]*workerSession{}, pendingStarts: map[weir.RunKey]bool{},
+		health: map[weir.InstanceID]*health{}, avoidWorker: map[weir.TaskRef]weir.InstanceID{},
+		throttles: map[weir.InstanceID]*throttle{}, machines: newMachineState(sc.MachineOrderRate), evicted: map[weir.RunKey]bool{}, runProgress: map[weir.RunKey]progress{},
+		stoppedSlow: map[weir.TaskRef]bool{}, advice: map[weir.TaskRef]*adviceEntry{},
+	}
+	sc.setLeader(ls)
+	defer sc.setLeader(nil)
+	if sc.OnLeadershipChange != nil {
+		sc.OnLeadershipChange(true)
+		defer sc.OnLeadershipChange(false)
+	}
+	_ = sc.Logger.Log("level", "info", "msg", "leads jobs", "term", term)
+	ticker := time.NewTicker(maxRoundInterval)
+	defer ticker.Stop()
+	all := true
+	for ctx.Err() == nil && sc.Leadership.Term() == term {
+		begin := sc.Clock.Now()
+		sc.round(leadCtx, ls, begin, all)
+		took := sc.Clock.Now().Sub(begin)
+		metrics.GetOrCreateHistogram("weir_job_round_seconds").Update(took.Seconds())
+		time.Sleep(min(max(took, minRoundInterval), maxRoundInterval))
+		select {
+		case <-ctx.Done():
+		case <-sc.wake:
+			all = false
+		case <-ticker.C:
+			all = true
+		}
+	}
+	_ = sc.Logger.Log("level", "info", "msg", "no longer leads jobs", "term", term)
+}
+
+func (sc *Scheduler) setLeader(ls *leaderState) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.leader = ls
+}
+
+// Ready reports whether this process leads and has applied everything that
+// earlier leaders committed.
+func (sc *Scheduler) Ready() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.leader != nil && sc.Leadership.Leads()
+}
+
+// RecordAnnouncement records that a worker announced itself at the time now. It
+// reports false if a newer announcement of the worker is known.
+func (sc *Scheduler) RecordAnnouncement(ann jobapi.Announcement, now time.Time) bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.leader == nil {
+		return true
+	}
+	ws := sc.leader.sessions[ann.ID]
+	if ws == nil || ws.worker.Incarnation < ann.Incarnation {
+		return true
+	}
+	if ws.worker.Incarnation > ann.Incarnation || ws.sequence > ann.Sequence {
+		return false
+	}
+	ws.announcedAt, ws.sequence = now, ann.Sequence
+	return true
+}
+
+// WakeJob triggers a scheduling round that reconciles the workers on which a job
+// may run.
+func (sc *Scheduler) WakeJob(id weir.JobID) {
+	defer sc.Wake()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.leader == nil {
+		return
+	}
+	sc.Store.Read(func(rd store.Reader) {
+		js := rd.Job(id)
+		if js == nil {
+			return
+		}
+		for _, steps := range js.Occurrences {
+			for sp := range steps {
+				for ix := range steps[sp].Tasks {
+					if ws := sc.leader.sessions[steps[sp].Tasks[ix].Worker]; ws != nil {
+						ws.dirty = true
+					}
+				}
+			}
+		}
+	})
+}
+
+// round runs one scheduling round. If all is set, it also checks what changes
+// with time alone: repeated orders, run progress, speed limits and expired jobs.
+func (sc *Scheduler) round(ctx context.Context, ls *leaderState, now time.Time, all bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.syncSessions(ctx, ls, now)
+	for id, ws := range ls.sessions {
+		if ws.dirty || (all && (ws.session.Unreachable() || now.Sub(ws.reconciledAt) >= reconcileInterval)) {
+			ws.dirty, ws.reconciledAt = false, now
+			sc.reconcile(ls, id, ws, now)
+		}
+	}
+	if all {
+		sc.throttleAll(ls)
+		sc.checkProgress(ls)
+		sc.purgeExpiredJobs()
+	}
+	sc.orderMachines(ctx, ls, now)
+	// Maintenance and moves depend on the runs at each machine, which are not
+	// known while starts are being committed.
+	if !ls.committingStarts && now.Sub(ls.maintenanceCheckedAt) >= maxRoundInterval {
+		ls.maintenanceCheckedAt = now
+		sc.updateMachines(ctx, ls, now)
+	}
+	sc.placeTasks(ctx, ls, now)
+}
+
+// syncSessions opens and closes sessions to match the registered workers.
+func (sc *Scheduler) syncSessions(ctx context.Context, ls *leaderState, now time.Time) {
+	var present map[weir.InstanceID]store.Worker
+	sc.Store.Read(func(rd store.Reader) {
+		if rd.WorkerRevision() == ls.workersRevision {
+			return
+		}
+		ls.workersRevision = rd.WorkerRevision()
+		present = make(map[weir.InstanceID]store.Worker, len(ls.sessions))
+		rd.EachWorker(func(wk store.Worker) { present[wk.ID] = wk })
+	})
+	if present == nil {
+		return
+	}
+	for id, ws := range ls.sessions {
+		wk, ok := present[id]
+		if ok && wk.Incarnation == ws.worker.Incarnation && wk.Address == ws.worker.Address {
+			ws.worker = wk
+			continue
+		}
+		ws.cancel()
+		delete(ls.sessions, id)
+		if wk.Address != ws.worker.Address {
+			sc.Workers.Forget(ws.worker.Address)
+		}
+	}
+	for id, wk := range present {
+		if ls.sessions[id] == nil {
+			ls.sessions[id] = sc.openSession(ctx, ls, wk, now)
+		}
+	}
+}
+
+func (sc *Scheduler) openSession(ctx context.Context, ls *leaderState, wk store.Worker, now time.Time) *workerSession {
+	ssCtx, cancel := context.WithCancel(ctx)
+	ws := &workerSession{worker: wk, cancel: cancel, announcedAt: now}
+	ws.session = &session.Session{
+		Worker: weir.WorkerIncarnation{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
+		Token:  ls.term, Lease: sc.Lease, Workers: sc.Workers, Leadership: sc.Leadership, Clock: sc.Clock, Logger: sc.Logger,
+		PriorLeaseExpiry: ls.since.Add(priorLeaderGrace + sc.Lease + sc.Lease/20),
+	}
+	ws.session.OnChange = func() { sc.markDirty(ws) }
+	if err := ws.session.Default(); err != nil {
+		_ = sc.Logger.Log("level", "error", "msg", "cannot open worker session", "worker", wk.ID, "err", err)
+	}
+	go func() { _ = ws.session.Run(ssCtx) }()
+	return ws
+}
+
+// markDirty triggers a round that reconciles a worker.
+func (sc *Scheduler) markDirty(ws *workerSession) {
+	sc.mu.Lock()
+	ws.dirty = true
+	sc.mu.Unlock()
+	sc.Wake()
+}
+
+// reconcile compares the runs placed at one worker with the worker's reports and
+// records the runs that ended.
+func (sc *Scheduler) reconcile(ls *leaderState, id weir.InstanceID, ws *workerSession, now time.Time) {
+	if ws.session.LeaseExpired(now) {
+		sc.removeExpiredWorker(ls, ws, now)
+		return
+	}
+	var placed []session.PlacedRun
+	sc.Store.Read(func(rd store.Reader) {
+		for key := range rd.Runs(id) {
+			if ls.pendingStarts[key] {
+				continue // committed, but not ordered yet
+			}
+			js := rd.Job(key.Task.Job)
+			wanted := !js.Phase.Terminal() && !js.Task(key.Task).Done && !ls.evicted[key] && js.GangComplete(key)
+			placed = append(placed, session.PlacedRun{Key: key, Wanted: wanted})
+		}
+	})
+	out := ws.session.Reconcile(now, placed)
+	for key, reason := range out.Refused {
+		sc.handleRefusal(ls, id, key, reason, now)
+	}
+	if len(out.Ends) == 0 {
+		return
+	}
+	sc.recordEnds(ls, id, ws, out, now)
+}
+
+// purgeBatch limits the jobs removed in one round.
+const purgeBatch = 64
+
+// purgeExpiredJobs removes ended jobs whose retention has passed.
+func (sc *Scheduler) purgeExpiredJobs() {
+	var ids []weir.JobID
+	sc.Store.Read(func(rd store.Reader) { ids = rd.JobsEndedBefore(sc.Wall.Now().Add(-sc.Retention), purgeBatch) })
+	if len(ids) > 0 {
+		sc.Committer.Submit([]store.Change{{Forget: ids}}, func([]store.Result, error) {})
+	}
+}
--- a/internal/job/scheduler/wake_test.go
+++ b/internal/job/scheduler/wake_test.go
@@ -11,14 +11,15 @@
 	weir "greengageweir"
 )
 
-// TestCancelLooksOnlyWhereTheJobRuns keeps a round of a fleet of hundreds small.
-func TestCancelLooksOnlyWhereTheJobRuns(t *testing.T) {
+// TestWakeJobMarksOnlyWorkersOfTheJob checks that only the workers of the job are
+// reconciled, which keeps a round short in a fleet of hundreds of workers.
+func TestWakeJobMarksOnlyWorkersOfTheJob(t *testing.T) {
 	st := storeWith(t, store.Change{Submit: &spec.Job{ID: "a", Steps: []spec.Step{{Count: 2}}}}, startAt(0, "w1"))
-	ow := &Scheduler{Store: st, wake: make(chan struct{}, 1)}
-	ow.reign = &reign{sessions: map[weir.InstanceID]*attended{"w0": {}, "w1": {}}}
-	ow.WakeJob("a")
-	require.False(t, ow.reign.sessions["w0"].dirty)
-	require.True(t, ow.reign.sessions["w1"].dirty)
-	require.Len(t, ow.wake, 1, "a round is due")
-	ow.WakeJob("unknown")
+	sc := &Scheduler{Store: st, wake: make(chan struct{}, 1)}
+	sc.leader = &leaderState{sessions: map[weir.InstanceID]*workerSession{"w0": {}, "w1": {}}}
+	sc.WakeJob("a")
+	require.False(t, sc.leader.sessions["w0"].dirty)
+	require.True(t, sc.leader.sessions["w1"].dirty)
+	require.Len(t, sc.wake, 1, "a round is triggered")
+	sc.WakeJob("unknown")
 }
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// drainPatience is how long a machine is kept free of new tasks before
-	// its maintenance, so that what runs there can end; most tasks take less.
-	drainPatience = 2500 * time.Millisecond
-	// wavePatience is the time that a wave's pace allows for each machine: its
-	// drain and its maintenance take half of it.
-	wavePatience = 9 * time.Second
-	// tellEvery separates lines about maintenance that has to wait.
-	tellEvery = time.Second
-	// drainAhead is how many machines beyond those that may be away are kept
-	// free, so that the next can go at once.
-	drainAhead = 1
-	// lastingAhead is how many machines with lasting tasks of one pool are
-	// kept free at a time: one that goes and the next.
-	lastingAhead = 2
+	// drainPeriod is how long a machine gets no new tasks before its maintenance,
+	// so that running tasks can finish; most tasks take less.
+	drainPeriod = 2500 * time.Millisecond
+	// timePerMachine is the time planned for each machine of a wave; drain and
+	// maintenance take half of it.
+	timePerMachine = 9 * time.Second
+	// waitLogInterval is the minimum time between log lines about blocked
+	// maintenance.
+	waitLogInterval = time.Second
+	// extraCordoned is how many machines are cordoned beyond those that may be
+	// under maintenance, so that the next one can start at once.
+	extraCordoned = 1
+	// maxLongRunningCordoned is how many machines with long-running tasks are
+	// cordoned per pool: the one that starts maintenance and the next.
+	maxLongRunningCordoned = 2
 )
 
 // candidate is a machine that waits for maintenance.
@@ -33,63 +34,66 @@
 	machine string
 	worker  weir.InstanceID
 	pool    weir.PoolName
-	// work counts the runs that end by themselves, lasting those that do not.
-	work     int
-	lasting  int
-	cordoned bool
+	// batchRuns counts the runs that end by themselves, longRunning those that
+	// do not.
+	batchRuns   int
+	longRunning int
+	cordoned    bool
 }
 
-// advance begins what may begin of one wave.
-func (ow *Scheduler) advance(re *reign, rd store.Reader, wv *store.Wave, byMachine map[string]store.Worker, now time.Time) {
-	md := re.machines
-	away := 0
+// advanceWave starts the maintenance of the machines of one wave that may start
+// now.
+func (sc *Scheduler) advanceWave(ls *leaderState, rd store.Reader, wv *store.Wave, byMachine map[string]store.Worker, now time.Time) {
+	mst := ls.machines
+	inProgress := 0
 	var waiting []candidate
 	for _, machine := range wv.Machines {
 		op, ordered := rd.MachineOperation(machine)
 		switch {
 		case ordered && op.Wave == wv.Number:
-			away++
-		case md.intent[machine] && !ordered && !wv.Started[machine]:
-			away++
+			inProgress++
+		case mst.pendingCommit[machine] && !ordered && !wv.Started[machine]:
+			inProgress++
 		case ordered:
 		case wv.Started[machine]:
-			if ow.back(re, byMachine[machine], machine) {
-				delete(md.cordon, machine)
+			if sc.maintenanceDone(ls, byMachine[machine], machine) {
+				delete(mst.cordon, machine)
 			} else {
-				away++
+				inProgress++
 			}
 		default:
-			waiting = append(waiting, ow.candidate(re, rd, machine, byMachine[machine]))
+			waiting = append(waiting, sc.candidate(ls, rd, machine, byMachine[machine]))
 		}
 	}
-	free := waveWidth(len(waiting), wv.MaxParallel, wv.Deadline.Sub(ow.Wall.Now()), md.short) - away
+	free := waveParallelism(len(waiting), wv.MaxParallel, wv.Deadline.Sub(sc.Wall.Now()), mst.shortage) - inProgress
 	sortCandidates(waiting)
-	for _, machine := range toDrain(waiting, free+drainAhead) {
-		md.cordon[machine] = now
+	for _, machine := range machinesToCordon(waiting, free+extraCordoned) {
+		mst.cordon[machine] = now
 	}
-	ow.begin(re, rd, wv, waiting, free, now)
+	sc.startMaintenance(ls, rd, wv, waiting, free, now)
 }
 
-// sortCandidates puts machines with lasting tasks first: they have to wait for
-// each other, so they hold a wave up if they start late.
+// sortCandidates sorts machines with long-running tasks first: they have to wait
+// for each other and delay the wave if they start late.
 func sortCandidates(waiting []candidate) {
 	slices.SortFunc(waiting, func(one, other candidate) int {
-		return cmp.Or(boolRank(other.cordoned)-boolRank(one.cordoned), boolRank(other.lasting > 0)-boolRank(one.lasting > 0),
-			cmp.Compare(one.work, other.work), cmp.Compare(one.lasting, other.lasting), cmp.Compare(one.machine, other.machine))
+		return cmp.Or(boolToInt(other.cordoned)-boolToInt(one.cordoned), boolToInt(other.longRunning > 0)-boolToInt(one.longRunning > 0),
+			cmp.Compare(one.batchRuns, other.batchRuns), cmp.Compare(one.longRunning, other.longRunning), cmp.Compare(one.machine, other.machine))
 	})
 }
 
-// toDrain returns the machines that are to be kept free of new tasks besides
-// those that are: at most width without lasting tasks, and of those with
-// lasting tasks lastingAhead a pool, as more of them could not go at once.
-func toDrain(waiting []candidate, width int) []string {
+// machinesToCordon returns the machines to cordon in addition to those that are.
+// It counts up to width machines without long-running tasks, and up to
+// maxLongRunningCordoned per pool of those with long-running tasks, since more of
+// them could not start at once.
+func machinesToCordon(waiting []candidate, width int) []string {
 	var out []string
-	plain, lasting := 0, map[weir.PoolName]int{}
+	plain, longRunning := 0, map[weir.PoolName]int{}
 	for _, ca := range waiting {
 		switch {
-		case ca.lasting > 0 && lasting[ca.pool] < lastingAhead:
-			lasting[ca.pool]++
-		case ca.lasting == 0 && plain < width:
+		case ca.longRunning > 0 && longRunning[ca.pool] < maxLongRunningCordoned:
+			longRunning[ca.pool]++
+		case ca.longRunning == 0 && plain < width:
 			plain++
 		default:
 			continue
@@ -101,95 +105,98 @@
 	return out
 }
 
-// waveWidth returns how many machines of a wave may be away at a time. While
-// pools lack machines it is what the deadline asks for, with some to spare.
-func waveWidth(waiting, atOnce int, left time.Duration, short bool) int {
-	atOnce = max(atOnce, 1)
-	if !short || left <= 0 {
-		return atOnce
+// waveParallelism returns how many machines of a wave may be under maintenance at
+// a time. During a shortage of machines it is only as many as the deadline
+// requires, with a margin.
+func waveParallelism(waiting, maxParallel int, left time.Duration, shortage bool) int {
+	maxParallel = max(maxParallel, 1)
+	if !shortage || left <= 0 {
+		return maxParallel
 	}
-	needed := math.Ceil(float64(waiting) * wavePatience.Seconds() / left.Seconds())
-	return min(atOnce, max(int(needed), 1))
+	needed := math.Ceil(float64(waiting) * timePerMachine.Seconds() / left.Seconds())
+	return min(maxParallel, max(int(needed), 1))
 }
 
-// begin commits the intent for machines that may go; the order follows once
-// the intent is in the state.
-func (ow *Scheduler) begin(re *reign, rd store.Reader, wv *store.Wave, waiting []candidate, free int, now time.Time) {
-	md := re.machines
+// startMaintenance commits the maintenance operation of the machines that may
+// start; the order is sent once the operation is applied to the state.
+func (sc *Scheduler) startMaintenance(ls *leaderState, rd store.Reader, wv *store.Wave, waiting []candidate, free int, now time.Time) {
+	mst := ls.machines
 	for _, ca := range waiting {
 		if free <= 0 {
 			break
 		}
-		since, ok := md.cordon[ca.machine]
-		if !ok || md.busy[ca.machine] || !ow.myTurn(re, rd, ca.machine, now) {
+		since, ok := mst.cordon[ca.machine]
+		if !ok || mst.inFlight[ca.machine] || !sc.mayOrder(ls, rd, ca.machine, now) {
 			continue
 		}
-		if ca.work > 0 && (now.Sub(since) < drainPatience || ow.save(re, rd, ca.worker)) {
+		if ca.batchRuns > 0 && (now.Sub(since) < drainPeriod || sc.evictCheckpointed(ls, rd, ca.worker)) {
 			continue
 		}
-		if step, away := ow.blocked(re, rd, ca.worker); step != nil {
-			if now.Sub(since) > drainPatience && now.Sub(md.toldAt) > tellEvery {
-				md.toldAt = now
-				ow.spread(re, rd, ca.worker, *step)
-				_ = ow.Logger.Log("level", "info", "msg", "maintenance waits", "machine", ca.machine, "worker", ca.worker,
-					"wave", wv.Number, "job", step.Job, "step", step, "away", away)
+		if step, unavailable := sc.blockingStep(ls, rd, ca.worker); step != nil {
+			if now.Sub(since) > drainPeriod && now.Sub(mst.waitLoggedAt) > waitLogInterval {
+				mst.waitLoggedAt = now
+				sc.evictColocated(ls, rd, ca.worker, *step)
+				_ = sc.Logger.Log("level", "info", "msg", "maintenance blocked by unavailable tasks", "machine", ca.machine, "worker", ca.worker,
+					"wave", wv.Number, "job", step.Job, "step", step, "away", unavailable)
 			}
 			continue
 		}
 		free--
-		md.asked[ca.machine] = time.Time{}
+		mst.lastOrderAt[ca.machine] = time.Time{}
 		op := store.MachineOperation{Machine: ca.machine, Wave: wv.Number}
-		_ = ow.Logger.Log("level", "info", "msg", "maintenance begins", "machine", ca.machine, "worker", ca.worker,
-			"wave", wv.Number, "runs", ca.work, "lasting", ca.lasting)
+		_ = sc.Logger.Log("level", "info", "msg", "maintenance operation submitted", "machine", ca.machine, "worker", ca.worker,
+			"wave", wv.Number, "runs", ca.batchRuns, "lasting", ca.longRunning)
 		wk, _ := rd.Worker(ca.worker)
-		ow.intend(re, op, wk)
+		sc.commitOperation(ls, op, wk)
 	}
 }
 
-// save stops what can resume elsewhere from where it is. It reports whether
-// such runs are left.
-func (ow *Scheduler) save(re *reign, rd store.Reader, id weir.InstanceID) bool {
+// evictCheckpointed stops the runs that can resume elsewhere from a checkpoint. It
+// reports whether such runs are left.
+func (sc *Scheduler) evictCheckpointed(ls *leaderState, rd store.Reader, id weir.InstanceID) bool {
 	left := false
 	for key := range rd.Runs(id) {
 		step := rd.Job(key.Task.Job).Spec.Steps[key.Task.Step]
 		if step.Checkpointing && !step.LongRunning {
-			ow.evict(re, id, key)
+			sc.evict(ls, id, key)
 			left = true
 		}
 	}
 	return left
 }
 
-// spread stops one of several lasting tasks of a step at one worker, so that
-// it goes on elsewhere and the worker can do without the others.
-func (ow *Scheduler) spread(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) {
+// evictColocated stops one of several long-running tasks of a step at one worker,
+// so that the task runs elsewhere and fewer tasks of the step are unavailable
+// during the worker's maintenance.
+func (sc *Scheduler) evictColocated(ls *leaderState, rd store.Reader, id weir.InstanceID, step weir.TaskRef) {
 	var here []weir.RunKey
 	for key := range rd.Runs(id) {
 		if key.Task.StepRef() == step {
 			here = append(here, key)
 		}
 	}
-	if len(here) < 2 || ow.away(re, rd, id, step) > 0 {
+	if len(here) < 2 || sc.unavailable(ls, rd, id, step) > 0 {
 		return
 	}
-	ow.evict(re, id, here[0])
+	sc.evict(ls, id, here[0])
 }
 
-func (ow *Scheduler) evict(re *reign, id weir.InstanceID, key weir.RunKey) {
-	if re.evicted[key] {
+// evict marks a run to be stopped, so that its task is rescheduled elsewhere.
+func (sc *Scheduler) evict(ls *leaderState, id weir.InstanceID, key weir.RunKey) {
+	if ls.evicted[key] {
 		return
 	}
-	re.evicted[key] = true
-	re.sessions[id].dirty = true
-	ow.Wake()
-	_ = ow.Logger.Log("level", "info", "msg", "run evicted", "job", key.Task.Job, "task", key.Task, "run", key.Run, "worker", id)
+	ls.evicted[key] = true
+	ls.sessions[id].dirty = true
+	sc.Wake()
+	_ = sc.Logger.Log("level", "info", "msg", "run evicted", "job", key.Task.Job, "task", key.Task, "run", key.Run, "worker", id)
 }
 
-// blocked names a step of which more lasting tasks would be away than it
-// allows if all that runs at a worker ended, and how many are away already; it
-// is nil where there is none. A task counts as away unless its worker lists it
-// at full work.
-func (ow *Scheduler) blocked(re *reign, rd store.Reader, id weir.InstanceID) (step *weir.TaskRef, away int) {
+// blockingStep returns a step that would have more unavailable tasks than it
+// allows if all runs at a worker ended, nil if there is none, and how many of the
+// step's tasks besides one at this worker would then be unavailable. A task counts
+// as unavailable unless its worker reports it as fully running.
+func (sc *Scheduler) blockingStep(ls *leaderState, rd store.Reader, id weir.InstanceID) (step *weir.TaskRef, unavailable int) {
 	steps := map[weir.TaskRef]int{}
 	for key := range rd.Runs(id) {
 		js := rd.Job(key.Task.Job)
@@ -198,39 +205,39 @@
 		}
 	}
 	for ref, here := range steps {
-		away = here - 1 + ow.away(re, rd, id, ref)
-		if away >= rd.Job(ref.Job).Spec.Steps[ref.Step].MaxUnavailable {
-			return &ref, away
+		unavailable = here - 1 + sc.unavailable(ls, rd, id, ref)
+		if unavailable >= rd.Job(ref.Job).Spec.Steps[ref.Step].MaxUnavailable {
+			return &ref, unavailable
 		}
 	}
 	return nil, 0
 }
 
-// away counts the tasks of a step that are neither at a worker nor at work
-// elsewhere.
-func (ow *Scheduler) away(re *reign, rd store.Reader, id weir.InstanceID, step weir.TaskRef) int {
+// unavailable counts the tasks of a step that are neither at the given worker nor
+// fully running elsewhere.
+func (sc *Scheduler) unavailable(ls *leaderState, rd store.Reader, id weir.InstanceID, step weir.TaskRef) int {
 	count := 0
 	tasks := rd.Job(step.Job).Occurrences[step.Occurrence][step.Step].Tasks
 	for ix := range tasks {
 		tk := &tasks[ix]
 		step.Index = ix
 		key := weir.RunKey{Task: step, Run: tk.Run}
-		if re.evicted[key] || (tk.Worker != id && !ow.atWork(re, rd, key, tk.Worker)) {
+		if ls.evicted[key] || (tk.Worker != id && !sc.fullyRunning(ls, rd, key, tk.Worker)) {
 			count++
 		}
 	}
 	return count
 }
 
-// atWork reports whether a lasting task works at a worker that no planned work
-// is about to end.
-func (ow *Scheduler) atWork(re *reign, rd store.Reader, key weir.RunKey, id weir.InstanceID) bool {
-	at := re.sessions[id]
-	if at == nil || re.machines.intent[at.worker.Machine] {
+// fullyRunning reports whether a long-running task is fully running on a worker
+// that no machine operation is about to end.
+func (sc *Scheduler) fullyRunning(ls *leaderState, rd store.Reader, key weir.RunKey, id weir.InstanceID) bool {
+	ws := ls.sessions[id]
+	if ws == nil || ls.machines.pendingCommit[ws.worker.Machine] {
 		return false
 	}
-	if _, ordered := rd.MachineOperation(at.worker.Machine); ordered {
+	if _, ordered := rd.MachineOperation(ws.worker.Machine); ordered {
 		return false
 	}
-	return at.ss.AtFullSpeed(key)
+	return ws.session.AtFullSpeed(key)
 }
