--- a/internal/job/scheduler/machines.go
+++ b/internal/job/scheduler/machines.go
@@ -30,7 +30,7 @@
 	platformTimeout = 1500 * time.Millisecond
 )
 
-// machineState is what a leader knows about machines beside the replicated
+// machineState is what a leader knows about machines in addition to the replicated
 // state. The maps are by machine name unless stated otherwise.
 type machineState struct {
 	// cordon holds machines that get no new tasks because their maintenance is
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -103,8 +103,8 @@
 	leader *leaderState // nil while another process leads
 }
 
-// leaderState is the state that a leader keeps in memory for one term, beside
-// the replicated state.
+// leaderState is the state that a leader keeps in memory for one term, in addition
+// to the replicated state.
 type leaderState struct {
 	term  uint64
 	since time.Time
