--- a/internal/schedule/placement/plan.go
+++ b/internal/schedule/placement/placement.go
@@ -1,14 +1,14 @@
-// Package plan decides which task goes to which worker. It is a pure function
-// of what is ready, what is free and the time; nothing is remembered between
-// calls.
+// Package placement assigns ready tasks to workers. It is a pure function of the
+// ready tasks, the free resources and the time, and keeps no state between calls.
 //
-// The load it answers: queues whose demand rises by turns to several times
-// what their pool holds, jobs of steps that are many tasks wide, and tasks
-// that last and must not share a worker with others of their step.
+// It is designed for queues whose demand peaks one after the other at several
+// times the capacity of their pool, for jobs whose steps have many parallel tasks,
+// and for long-running tasks that must not share a worker with others of their
+// step.
 //
 // Usage:
 //
-//	for _, pl := range plan.Place(now, groups, workers) { ... }
+//	for _, pl := range placement.Place(now, groups, workers) { ... }
 package placement
 
 import (
@@ -26,32 +26,35 @@
 	Index      int
 	Run        int
 	Checkpoint string
-	// AvoidWorker names a worker on which it ended badly last; it may be empty.
+	// AvoidWorker is the worker on which the task last failed or was too slow; it
+	// may be empty.
 	AvoidWorker weir.InstanceID
-	// WaitingSince is when the task began to wait.
+	// WaitingSince is when the task became ready or its last run ended.
 	WaitingSince time.Time
 }
 
-// spreadPatience is how long a lasting task waits for a worker that holds
-// fewer of its step than planned work may take away: a machine that was sent
-// for is there after about 1.6 s.
-const spreadPatience = 2 * time.Second
+// spreadWait is how long a long-running task waits for a worker with fewer tasks
+// of its step than may be unavailable at a time. A machine that was moved to the
+// pool is usable after about 1.6 s.
+const spreadWait = 2 * time.Second
 
-// Group is the tasks of one step of one occurrence that may start now.
+// Group holds the tasks of one step of one job occurrence that may start now.
 type Group struct {
-	Step  weir.TaskRef // names the step
+	Step  weir.TaskRef // identifies the step; its task index is not used
 	Spec  spec.Step
 	Pool  weir.PoolName
 	Tasks []Task
-	// Priority 0 goes first.
+	// Priority orders groups of the same class; 0 goes first.
 	Priority int
-	// StartBy is when the step has to start for the job to meet its objective.
+	// StartBy is the latest start of the step with which the job meets its
+	// objective.
 	StartBy time.Time
-	// RemainingWork is what is left of the whole job, in core-seconds.
+	// RemainingWork is the unfinished work of the whole job, in core-seconds.
 	RemainingWork float64
 	// RunsByWorker counts the step's runs at each worker.
 	RunsByWorker map[weir.InstanceID]int
-	// AllowedWorkers holds the only workers that may run the step; nil allows all.
+	// AllowedWorkers holds the workers that may run the step, with their tickets;
+	// nil allows all workers.
 	AllowedWorkers map[weir.InstanceID]string
 }
 
@@ -62,17 +65,17 @@
 	Pool        weir.PoolName
 	Kind        string
 	Rack        string
-	// Free is the room that no run takes.
+	// Free is the resources that no run uses.
 	Free spec.Resources
-	// Serving and Filling count the lasting tasks, apart from those that use
-	// what others leave.
+	// Serving counts the long-running tasks that serve users, BestEffort the
+	// tasks that use only resources left over by others.
 	Serving    int
 	BestEffort int
-	// Suspect workers are used only where there is no other.
+	// Suspect workers are used only if no other worker fits.
 	Suspect bool
 }
 
-// Placement is one start.
+// Placement is the start of one run on a worker.
 type Placement struct {
 	Task        weir.TaskRef
 	Run         int
@@ -80,14 +83,14 @@
 	Incarnation int64
 }
 
-// Place returns the starts that are possible now, most urgent groups first.
+// Place returns the runs to start now, most urgent groups first.
 func Place(now time.Time, groups []Group, workers []Worker) []Placement {
 	ordered := slices.Clone(groups)
 	slices.SortStableFunc(ordered, func(one, other Group) int {
 		return cmp.Or(
 			cmp.Compare(one.class(now), other.class(now)),
-			// The least work first lets most jobs meet their objective when
-			// there is too much of it.
+			// Under overload, the job with the least remaining work goes first, so
+			// that as many jobs as possible meet their objective.
 			cmp.Compare(one.RemainingWork, other.RemainingWork),
 			one.StartBy.Compare(other.StartBy),
 			cmp.Compare(one.Step.Job, other.Step.Job),
@@ -101,13 +104,14 @@
 	}
 	var out []Placement
 	for _, gr := range ordered {
-		out = append(out, place(now, gr, byPool[gr.Pool])...)
+		out = append(out, placeGroup(now, gr, byPool[gr.Pool])...)
 	}
 	return out
 }
 
-// class orders groups before their times: lasting tasks serve users already,
-// and a job that has missed its objective must not make others miss theirs.
+// class is the first sort key of groups: long-running tasks go first, since users
+// depend on them, and jobs that have missed their objective go last, so that they
+// do not make other jobs miss theirs.
 func (gr Group) class(now time.Time) int {
 	switch {
 	case gr.Spec.LongRunning && !gr.Spec.BestEffort:
@@ -121,7 +125,7 @@
 	}
 }
 
-func place(now time.Time, gr Group, workers []*Worker) []Placement {
+func placeGroup(now time.Time, gr Group, workers []*Worker) []Placement {
 	if !slices.ContainsFunc(workers, func(wk *Worker) bool { return wk.accepts(gr, gr.RunsByWorker) }) {
 		return nil
 	}
@@ -139,11 +143,11 @@
 	rack := chooseRack(gr, workers)
 	var out []Placement
 	for _, tk := range gr.Tasks {
-		wk := choose(gr, tk, on, rack, workers)
-		if wk == nil || (gr.crowds(on[wk.ID]) && tk.waits(now)) {
+		wk := chooseWorker(gr, tk, on, rack, workers)
+		if wk == nil || (gr.exceedsMaxUnavailable(on[wk.ID]) && tk.waitsForSpread(now)) {
 			break
 		}
-		wk.take(gr.Spec)
+		wk.reserve(gr.Spec)
 		on[wk.ID]++
 		out = append(out, Placement{Task: gr.ref(tk), Run: tk.Run, Worker: wk.ID, Incarnation: wk.Incarnation})
 	}
@@ -162,7 +166,7 @@
 	return rf
 }
 
-func (wk *Worker) take(st spec.Step) {
+func (wk *Worker) reserve(st spec.Step) {
 	wk.Free = wk.Free.Minus(st.Reserved())
 	switch {
 	case st.BestEffort:
@@ -172,7 +176,8 @@
 	}
 }
 
-// chooseRack returns the rack that the whole group should be on, or "".
+// chooseRack returns the rack on which the whole group should run, or "" if any
+// rack will do.
 func chooseRack(gr Group, workers []*Worker) string {
 	if gr.Spec.DataRack != "" {
 		return gr.Spec.DataRack
@@ -183,7 +188,7 @@
 	fits := map[string]int{}
 	for _, wk := range workers {
 		if wk.accepts(gr, nil) {
-			fits[wk.Rack] += wk.holds(gr.Spec)
+			fits[wk.Rack] += wk.fitCount(gr.Spec)
 		}
 	}
 	best := ""
@@ -195,8 +200,9 @@
 	return best
 }
 
-// holds counts how many more tasks of a step fit.
-func (wk *Worker) holds(st spec.Step) int {
+// fitCount returns how many more tasks of a step fit on the worker, up to the
+// number of tasks of the step.
+func (wk *Worker) fitCount(st spec.Step) int {
 	need, room, count := st.Reserved(), wk.Free, 0
 	for need.Fits(room) && count < st.Count {
 		room = room.Minus(need)
@@ -219,8 +225,8 @@
 	return st.Reserved().Fits(wk.Free)
 }
 
-// choose returns the best worker for a task, nil where there is none.
-func choose(gr Group, tk Task, on map[weir.InstanceID]int, rack string, workers []*Worker) *Worker {
+// chooseWorker returns the best worker for a task, nil if none accepts it.
+func chooseWorker(gr Group, tk Task, on map[weir.InstanceID]int, rack string, workers []*Worker) *Worker {
 	var best *Worker
 	for _, wk := range workers {
 		if !wk.accepts(gr, on) {
@@ -233,7 +239,7 @@
 	return best
 }
 
-// better reports whether one worker is a better place than another.
+// better reports whether one worker suits a task better than another.
 func better(gr Group, tk Task, on map[weir.InstanceID]int, rack string, one, other *Worker) bool {
 	if order := compareBool(one.Suspect || one.ID == tk.AvoidWorker, other.Suspect || other.ID == tk.AvoidWorker); order != 0 {
 		return order < 0
@@ -241,15 +247,16 @@
 	if order := compareBool(one.Rack != rack, other.Rack != rack); rack != "" && order != 0 {
 		return order < 0
 	}
-	if order := gr.together(on, one, other); order != 0 {
+	if order := gr.compareColocation(on, one, other); order != 0 {
 		return order < 0
 	}
-	if order := gr.disturbance(one, other); order != 0 {
+	if order := gr.compareInterference(one, other); order != 0 {
 		return order < 0
 	}
-	// Machines with lasting tasks cannot be spared anyway; tasks gather there
-	// and then on the fullest machine, so that others can go.
-	if order := compareBool(!one.keeps(), !other.keeps()); order != 0 {
+	// Machines with long-running tasks cannot move to another pool. Tasks are
+	// packed onto them first and then onto the fullest machine, so that other
+	// machines become idle and can move.
+	if order := compareBool(!one.pinned(), !other.pinned()); order != 0 {
 		return order < 0
 	}
 	if one.Free.MilliCPU != other.Free.MilliCPU {
@@ -258,33 +265,36 @@
 	return one.ID < other.ID
 }
 
-// together keeps lasting tasks of one step apart, since a worker's maintenance
-// takes all of them away at once.
-func (gr Group) together(on map[weir.InstanceID]int, one, other *Worker) int {
+// compareColocation spreads the long-running tasks of one step over workers, since
+// maintenance of a worker makes all tasks on it unavailable at once.
+func (gr Group) compareColocation(on map[weir.InstanceID]int, one, other *Worker) int {
 	if !gr.Spec.LongRunning {
 		return 0
 	}
 	return cmp.Compare(on[one.ID], on[other.ID])
 }
 
-// crowds reports whether one more task on a worker that holds some of its step
-// is one too many for the worker's maintenance.
-func (gr Group) crowds(held int) bool {
+// exceedsMaxUnavailable reports whether one more task on a worker that runs held
+// tasks of the step would make more tasks unavailable during the worker's
+// maintenance than the step allows.
+func (gr Group) exceedsMaxUnavailable(held int) bool {
 	return gr.Spec.LongRunning && gr.Spec.MaxUnavailable > 0 && held >= gr.Spec.MaxUnavailable
 }
 
-// waits reports whether a task has not waited long for a better worker. A time
-// of day that was set back ends the wait.
-func (tk Task) waits(now time.Time) bool {
+// waitsForSpread reports whether a task may wait longer for a better worker. If
+// the wall clock was set back, the wait ends.
+func (tk Task) waitsForSpread(now time.Time) bool {
 	waited := now.Sub(tk.WaitingSince)
-	return waited >= 0 && waited < spreadPatience
+	return waited >= 0 && waited < spreadWait
 }
 
-// keeps reports whether lasting tasks tie the worker to its pool.
-func (wk *Worker) keeps() bool { return wk.Serving+wk.BestEffort > 0 }
+// pinned reports whether long-running tasks prevent the worker's machine from
+// moving to another pool.
+func (wk *Worker) pinned() bool { return wk.Serving+wk.BestEffort > 0 }
 
-// disturbance keeps tasks that fill away from tasks that serve.
-func (gr Group) disturbance(one, other *Worker) int {
+// compareInterference keeps best-effort tasks and serving tasks on different
+// workers.
+func (gr Group) compareInterference(one, other *Worker) int {
 	switch {
 	case gr.Spec.BestEffort:
 		return cmp.Compare(one.Serving, other.Serving)
--- a/internal/schedule/placement/plan_test.go
+++ b/internal/schedule/placement/placement_test.go
@@ -42,7 +42,7 @@
 
 func cores(count int) spec.Resources { return spec.Resources{MilliCPU: count * 1000, MemoryMB: 10} }
 
-// counts tells how many tasks of each job went to each worker.
+// counts returns how many tasks of each job were placed on each worker.
 func counts(placements []Placement) map[string]int {
 	out := map[string]int{}
 	for _, pl := range placements {
@@ -62,7 +62,7 @@
 			[]Worker{worker("w1", 4), worker("w2", 5)},
 			map[string]int{"a on w1": 2, "a on w2": 2},
 		},
-		"urgent before late, late before nothing": {
+		"jobs that can meet their objective go first": {
 			[]Group{
 				group("late", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(-time.Second) }),
 				group("soon", spec.Step{Count: 1, Resources: cores(4)}),
@@ -78,13 +78,13 @@
 			[]Worker{worker("w1", 4)},
 			map[string]int{"first on w1": 1},
 		},
-		"lasting tasks wait for more workers": {
+		"long-running tasks wait for more workers": {
 			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(time.Second))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
-		"lasting tasks do not wait for ever": {
-			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(spreadPatience))},
+		"long-running tasks share workers after spreadWait": {
+			[]Group{group("a", spec.Step{Count: 5, Resources: cores(1), LongRunning: true, MaxUnavailable: 1}, waitingFor(spreadWait))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 3, "a on w2": 2},
 		},
@@ -93,22 +93,22 @@
 			[]Worker{worker("w1", 8)},
 			map[string]int{"a on w1": 2},
 		},
-		"as many as may be away share a worker at once": {
+		"max unavailable tasks may share a worker at once": {
 			[]Group{group("a", spec.Step{Count: 4, Resources: cores(1), LongRunning: true, MaxUnavailable: 2}, waitingFor(0))},
 			[]Worker{worker("w1", 8), worker("w2", 8)},
 			map[string]int{"a on w1": 2, "a on w2": 2},
 		},
-		"lasting tasks of a step stay apart": {
+		"long-running tasks of a step are spread": {
 			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1), LongRunning: true, MaxUnavailable: 1})},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
-		"a bound on tasks of a step on one worker": {
+		"maximum number of tasks per worker": {
 			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1), MaxPerWorker: 1}, func(gr *Group) { gr.RunsByWorker["w2"] = 1 })},
 			[]Worker{worker("w1", 8), worker("w2", 64)},
 			map[string]int{"a on w1": 1},
 		},
-		"a gang wholly or not at all": {
+		"all tasks of a gang or none": {
 			[]Group{
 				group("gang", spec.Step{Count: 3, Resources: cores(2), Gang: true}),
 				group("other", spec.Step{Count: 1, Resources: cores(4)}, func(gr *Group) { gr.StartBy = testNow.Add(time.Minute) }),
@@ -116,17 +116,17 @@
 			[]Worker{worker("w1", 4)},
 			map[string]int{"other on w1": 1},
 		},
-		"a label": {
+		"only workers with the label": {
 			[]Group{group("a", spec.Step{Count: 1, Resources: cores(1), Label: "b"})},
 			[]Worker{worker("w1", 4), func() Worker { wk := worker("w2", 4); wk.Kind = "b"; return wk }()},
 			map[string]int{"a on w2": 1},
 		},
-		"near its data": {
+		"on the rack with the data if possible": {
 			[]Group{group("a", spec.Step{Count: 2, Resources: cores(2), DataRack: "r-w2"})},
 			[]Worker{worker("w1", 64), worker("w2", 2)},
 			map[string]int{"a on w2": 1, "a on w1": 1},
 		},
-		"on one rack": {
+		"all tasks on one rack": {
 			[]Group{group("a", spec.Step{Count: 2, Resources: cores(2), OneRack: true})},
 			[]Worker{worker("w1", 2), worker("w2", 4)},
 			map[string]int{"a on w2": 2},
@@ -136,17 +136,17 @@
 			[]Worker{func() Worker { wk := worker("w1", 2); wk.Suspect = true; return wk }(), worker("w2", 64)},
 			map[string]int{"a on w2": 1},
 		},
-		"tasks that fill take no processor, and keep away from those that serve": {
+		"best-effort tasks need no free CPU and avoid serving tasks": {
 			[]Group{group("a", spec.Step{Count: 2, Resources: cores(8), BestEffort: true, LongRunning: true})},
 			[]Worker{worker("w1", 1), worker("w2", 1), func() Worker { wk := worker("w3", 64); wk.Serving = 1; return wk }()},
 			map[string]int{"a on w1": 1, "a on w2": 1},
 		},
-		"gathered where lasting tasks are": {
+		"packed onto workers with long-running tasks": {
 			[]Group{group("a", spec.Step{Count: 2, Resources: cores(1)})},
 			[]Worker{worker("w1", 2), func() Worker { wk := worker("w2", 64); wk.Serving = 1; return wk }()},
 			map[string]int{"a on w2": 2},
 		},
-		"only where the adviser allows it": {
+		"only workers with a ticket": {
 			[]Group{group("a", spec.Step{Count: 3, Resources: cores(1)}, func(gr *Group) { gr.AllowedWorkers = map[weir.InstanceID]string{"w2": "ticket"} })},
 			[]Worker{worker("w1", 64), worker("w2", 2)},
 			map[string]int{"a on w2": 2},
