--- a/internal/capacity/balance/balance.go
+++ b/internal/capacity/balance/balance.go
@@ -1,15 +1,15 @@
 // Package balance decides which machines move between pools. It is a pure
-// function of what each pool needs and where the machines are.
+// function of the demand of each pool and the pools of the machines.
 //
-// The load it answers: queues whose demand rises by turns, for some seconds,
-// to several times what their pool holds, while the other pools are nearly
-// idle; machines that are idle cost as much as busy ones, unless they stand in
-// a standby pool.
+// It is designed for queues whose demand peaks one after the other, for some
+// seconds, at several times the capacity of their pool, while the other pools are
+// nearly idle. Idle machines cost as much as busy ones unless they are in a standby
+// pool.
 //
 // Usage:
 //
-//	need := balance.Need(load)             // machines that a pool wants now
-//	pl := balance.Decide(pools, machines)  // pl.Moves to order, pl.Leaving to keep free
+//	need := balance.MachinesNeeded(load)    // machines that a pool needs now
+//	dec := balance.Decide(pools, machines)  // dec.Moves to order, dec.Draining to keep free of new tasks
 package balance
 
 import (
@@ -20,45 +20,48 @@
 	weir "greengageweir"
 )
 
-// Load is what a pool's queues ask for, in thousandths of a core.
+// Load is the load of a pool's queues, in thousandths of a core.
 type Load struct {
-	// LongRunning and Busy are taken by lasting tasks and by others.
+	// LongRunning is used by long-running tasks, Busy by other running tasks.
 	LongRunning int
 	Busy        int
-	// Waiting is what tasks that could start now still lack.
+	// Waiting is requested by tasks that are ready but not running.
 	Waiting int
-	// ArrivalRate is the work that arrived lately, in thousandths of a core: the work
-	// of the jobs of the last Window, divided by it.
+	// ArrivalRate is the estimated work of the jobs that arrived within the last
+	// ArrivalWindow, divided by the window, in thousandths of a core.
 	ArrivalRate int
-	// MachineCapacity is what one machine holds.
+	// MachineCapacity is the capacity of one machine.
 	MachineCapacity int
-	// MinMachines is the number of machines that lasting tasks need so as not to
-	// share one.
+	// MinMachines is the number of machines over which long-running tasks must be
+	// spread.
 	MinMachines int
 }
 
 const (
-	// ArrivalWindow is how far back arriving work is counted: long enough for some
-	// jobs of a rising queue, short against the time that a move takes.
+	// ArrivalWindow is the period over which arriving work is counted. It covers
+	// several jobs of a rising queue and is short compared with the time of a
+	// move.
 	ArrivalWindow = 400 * time.Millisecond
-	// ReleaseHold is how long a pool keeps what it needed last before machines stand
-	// by. Two moves cost about as much as a machine for two to three seconds.
+	// ReleaseHold is how long a pool keeps machines that it no longer needs before
+	// they move to a standby pool. Two moves cost about as much as running a
+	// machine for two to three seconds.
 	ReleaseHold = 2 * time.Second
-	// LendHold is the same for machines that another pool needs now: long
+	// LendHold is the same for machines that another pool needs now. It is long
 	// enough to bridge the gap between two jobs.
 	LendHold = 500 * time.Millisecond
-	// spread is added to the machines that lasting tasks need, for one that is
-	// lost or under maintenance.
-	spareSpread = 0
-	// headroom is added to the load, as tasks do not fill machines evenly.
+	// spareMachines is added to the machines that long-running tasks need, for
+	// machines that are lost or under maintenance.
+	spareMachines = 0
+	// headroom is the factor on the load of tasks that are not long-running, since
+	// tasks do not fill machines evenly.
 	headroom = 1.15
 )
 
-// MachinesNeeded returns how many machines a pool wants.
+// MachinesNeeded returns how many machines a pool with the given load needs.
 func MachinesNeeded(ld Load) int {
 	floor := 1
 	if ld.MinMachines > 0 {
-		floor = ld.MinMachines + spareSpread
+		floor = ld.MinMachines + spareMachines
 	}
 	if ld.MachineCapacity <= 0 {
 		return floor
@@ -67,25 +70,27 @@
 	return max(floor, int((load+float64(ld.MachineCapacity)-1)/float64(ld.MachineCapacity)))
 }
 
-// Pool is what a pool wants.
+// Pool is the demand of a pool for machines.
 type Pool struct {
 	Name    weir.PoolName
 	Standby bool
-	// Desired is the number of machines that it needs now; Lend and Keep are the
-	// most that it needed within LendHold and Hold.
+	// Desired is the number of machines that the pool needs now. LendFloor and
+	// ReleaseFloor are the maximum that it needed within LendHold and ReleaseHold:
+	// it lends machines to other pools, or releases them to a standby pool, only
+	// beyond that number.
 	Desired      int
 	LendFloor    int
 	ReleaseFloor int
 }
 
-// Machine is where a machine is.
+// Machine is a machine with its pool and load.
 type Machine struct {
 	Name string
 	Pool weir.PoolName
-	// Movable says that it may be ordered about: it is up, its platform does
-	// nothing with it, and no lasting task runs there.
+	// Movable is set if the machine may be ordered to move: it is up, no
+	// operation is pending for it, and it runs no long-running task.
 	Movable bool
-	// Runs counts the runs that would be lost with it.
+	// Runs counts the runs that would be lost by a move.
 	Runs int
 }
 
@@ -95,10 +100,11 @@
 	To      weir.PoolName
 }
 
-// Decision is what should happen now.
+// Decision is the result of Decide.
 type Decision struct {
 	Moves []Move
-	// Draining machines should get no new tasks, as they go once they are idle.
+	// Draining lists machines that should get no new tasks, since they will move
+	// once they are idle.
 	Draining []string
 }
 
@@ -108,9 +114,10 @@
 	decision Decision
 }
 
-// Decide moves idle machines to the pools that lack some: first those of the
-// pool with most to spare, then those that stand by, as the former would cost
-// a move of their own. What no pool needs goes to a standby pool.
+// Decide moves idle machines to the pools that lack machines. It takes them from
+// the pool with the largest surplus first and from standby pools last, since a
+// surplus machine would otherwise cost a separate move to standby. Machines that
+// no pool needs move to a standby pool.
 func Decide(pools []Pool, machines []Machine) Decision {
 	ba := &balancer{pools: slices.Clone(pools), byPool: map[weir.PoolName][]Machine{}}
 	for _, mc := range machines {
@@ -123,7 +130,7 @@
 	}
 	lack := 0
 	for {
-		needy, short := ba.mostNeedy()
+		needy, short := ba.largestShortage()
 		if needy < 0 {
 			break
 		}
@@ -132,13 +139,14 @@
 			break
 		}
 	}
-	ba.clear(lack)
-	ba.release()
+	ba.drainDonors(lack)
+	ba.releaseSurplus()
 	return ba.decision
 }
 
-// mostNeedy returns the pool that lacks most machines, -1 where none does.
-func (ba *balancer) mostNeedy() (best, lack int) {
+// largestShortage returns the index of the pool that lacks most machines and how
+// many it lacks, -1 if no pool lacks any.
+func (ba *balancer) largestShortage() (best, lack int) {
 	best = -1
 	for ix, po := range ba.pools {
 		if short := po.Desired - len(ba.byPool[po.Name]); !po.Standby && short > lack {
@@ -148,13 +156,13 @@
 	return best, lack
 }
 
-// clear keeps machines of pools with some to spare free of new tasks, so that
-// they can go to a pool that lacks them once they are idle.
-func (ba *balancer) clear(lack int) {
+// drainDonors drains up to lack busy machines of pools with a surplus, so that
+// they can move to a pool that lacks machines once they are idle.
+func (ba *balancer) drainDonors(lack int) {
 	for lack > 0 {
 		donor, most := -1, 0
 		for ix, po := range ba.pools {
-			if spare := len(ba.byPool[po.Name]) - po.LendFloor; spare > most && ba.busy(po.Name) >= 0 {
+			if spare := len(ba.byPool[po.Name]) - po.LendFloor; spare > most && ba.leastBusyMovable(po.Name) >= 0 {
 				donor, most = ix, spare
 			}
 		}
@@ -162,28 +170,30 @@
 			return
 		}
 		pool := ba.pools[donor].Name
-		at := ba.busy(pool)
+		at := ba.leastBusyMovable(pool)
 		ba.decision.Draining = append(ba.decision.Draining, ba.byPool[pool][at].Name)
 		ba.byPool[pool] = slices.Delete(ba.byPool[pool], at, at+1)
 		lack--
 	}
 }
 
-// busy returns the least busy machine of a pool that could go, or -1.
-func (ba *balancer) busy(pool weir.PoolName) int {
+// leastBusyMovable returns the index of the busy machine of a pool with the fewest
+// runs that may move, or -1.
+func (ba *balancer) leastBusyMovable(pool weir.PoolName) int {
 	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs > 0 })
 }
 
-// supply sends one machine to a pool; it reports false where none can go.
+// supply moves one idle machine to a pool; it reports false if no pool can lend
+// one.
 func (ba *balancer) supply(to weir.PoolName) bool {
 	donor, most := -1, 0
 	for ix, po := range ba.pools {
-		if po.Name == to || ba.idle(po.Name) < 0 {
+		if po.Name == to || ba.idleMovable(po.Name) < 0 {
 			continue
 		}
 		spare := len(ba.byPool[po.Name]) - po.LendFloor
 		if po.Standby {
-			spare = min(spare, 1) // after all others
+			spare = min(spare, 1) // donates after all other pools
 		}
 		if spare > most {
 			donor, most = ix, spare
@@ -192,27 +202,28 @@
 	if donor < 0 {
 		return false
 	}
-	ba.move(ba.pools[donor].Name, ba.idle(ba.pools[donor].Name), to)
+	ba.move(ba.pools[donor].Name, ba.idleMovable(ba.pools[donor].Name), to)
 	return true
 }
 
-// idle returns a machine of a pool that loses nothing by going, or -1.
-func (ba *balancer) idle(pool weir.PoolName) int {
+// idleMovable returns the index of a machine of a pool that may move and runs
+// nothing, or -1.
+func (ba *balancer) idleMovable(pool weir.PoolName) int {
 	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs == 0 })
 }
 
 func (ba *balancer) move(from weir.PoolName, at int, to weir.PoolName) {
 	mc := ba.byPool[from][at]
 	ba.byPool[from] = slices.Delete(ba.byPool[from], at, at+1)
-	// On its way it counts for the pool, but cannot be sent on.
+	// A moving machine counts for its new pool, but cannot move again.
 	mc.Movable = false
 	ba.byPool[to] = append(ba.byPool[to], mc)
 	ba.decision.Moves = append(ba.decision.Moves, Move{Machine: mc.Name, To: to})
 }
 
-// release sends what pools do not need to a standby pool, or keeps it free
-// until it can go.
-func (ba *balancer) release() {
+// releaseSurplus moves idle machines that pools no longer need to a standby pool
+// and drains busy ones.
+func (ba *balancer) releaseSurplus() {
 	at := slices.IndexFunc(ba.pools, func(po Pool) bool { return po.Standby })
 	if at < 0 {
 		return
--- a/internal/capacity/balance/balance_test.go
+++ b/internal/capacity/balance/balance_test.go
@@ -14,13 +14,13 @@
 		load Load
 		want int
 	}{
-		"nothing":                       {Load{MachineCapacity: 64_000}, 1},
-		"lasting tasks apart":           {Load{MachineCapacity: 64_000, LongRunning: 20_000, MinMachines: 5}, 5},
-		"work that waits":               {Load{MachineCapacity: 64_000, Busy: 64_000, Waiting: 192_000}, 5},
-		"work that arrives":             {Load{MachineCapacity: 64_000, ArrivalRate: 640_000}, 12},
-		"the larger of the two":         {Load{MachineCapacity: 64_000, ArrivalRate: 64_000, Waiting: 640_000}, 12},
-		"no machine was seen so far":    {Load{Waiting: 64_000}, 1},
-		"lasting tasks beside the rest": {Load{MachineCapacity: 64_000, LongRunning: 64_000, Waiting: 100_000, MinMachines: 1}, 3},
+		"nothing":                      {Load{MachineCapacity: 64_000}, 1},
+		"long-running tasks spread":    {Load{MachineCapacity: 64_000, LongRunning: 20_000, MinMachines: 5}, 5},
+		"waiting work":                 {Load{MachineCapacity: 64_000, Busy: 64_000, Waiting: 192_000}, 5},
+		"arriving work":                {Load{MachineCapacity: 64_000, ArrivalRate: 640_000}, 12},
+		"the larger of the two":        {Load{MachineCapacity: 64_000, ArrivalRate: 64_000, Waiting: 640_000}, 12},
+		"unknown machine capacity":     {Load{Waiting: 64_000}, 1},
+		"long-running and other tasks": {Load{MachineCapacity: 64_000, LongRunning: 64_000, Waiting: 100_000, MinMachines: 1}, 3},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) { require.Equal(t, tc.want, MachinesNeeded(tc.load)) })
@@ -45,7 +45,7 @@
 
 var standby = Pool{Name: "off", Standby: true}
 
-// flows counts moves by where they lead from and to.
+// flows counts moves by source and target pool.
 func flows(dec Decision) map[string]int {
 	out := map[string]int{}
 	for _, mv := range dec.Moves {
@@ -67,43 +67,43 @@
 			map[string]int{},
 			0,
 		},
-		"a neighbour's idle machines before those that stand by": {
+		"idle machines of another pool before standby machines": {
 			[]Pool{pool("a", 5, 5, 5), pool("b", 1, 1, 4), standby},
 			[][]Machine{machines("a", 0, 2, 0), machines("b", 2, 0, 1), machines("off", 4, 0, 0)},
 			map[string]int{"b>a": 2, "off>a": 1},
 			0,
 		},
-		"lasting tasks tie machines down": {
+		"machines with long-running tasks do not move": {
 			[]Pool{pool("a", 4, 4, 4), pool("b", 1, 1, 1)},
 			[][]Machine{machines("a", 0, 2, 0), machines("b", 0, 0, 4)},
 			map[string]int{},
 			0,
 		},
-		"busy neighbours are cleared first": {
+		"busy machines of another pool are drained": {
 			[]Pool{pool("a", 4, 4, 4), pool("b", 1, 1, 1)},
 			[][]Machine{machines("a", 0, 2, 0), machines("b", 0, 4, 0)},
 			map[string]int{},
 			2,
 		},
-		"what was needed lately is kept": {
+		"recently needed machines are kept": {
 			[]Pool{pool("a", 1, 1, 4), standby},
 			[][]Machine{machines("a", 4, 0, 0)},
 			map[string]int{},
 			0,
 		},
-		"what is not needed stands by": {
+		"surplus machines move to standby": {
 			[]Pool{pool("a", 1, 1, 2), standby},
 			[][]Machine{machines("a", 4, 2, 0)},
 			map[string]int{"a>off": 4},
 			0,
 		},
-		"busy ones first lose their tasks": {
+		"busy surplus machines are drained": {
 			[]Pool{pool("a", 1, 1, 1), standby},
 			[][]Machine{machines("a", 1, 2, 0)},
 			map[string]int{"a>off": 1},
 			1,
 		},
-		"without a standby pool nothing is sent away": {
+		"no release without a standby pool": {
 			[]Pool{pool("a", 1, 1, 1)},
 			[][]Machine{machines("a", 4, 0, 0)},
 			map[string]int{},
