--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -1,10 +1,11 @@
-// Package wave decides the next steps of maintenance waves and of the moves
-// that the configuration asks for. Deciding is a pure function of the state
-// and the time; the state machine checks each step again when it is applied.
+// Package wave computes the next commands for maintenance waves and for the pool
+// moves that the configuration requires. It is a pure function of the replicated
+// state, the leader's observations and the time; the state machine validates each
+// command again when it is applied.
 //
 // Usage:
 //
-//	steps := wave.Next(rd, ev, now)
+//	commands := wave.NextCommands(rd, obs, now)
 package wave
 
 import (
@@ -19,53 +20,54 @@
 )
 
 const (
-	// SettleTime is how long a returned instance must stay up before its
-	// permit is released; a second loss right after a repair is common.
+	// SettleTime is how long a returned instance must stay up before its permit is
+	// released, since instances often fail again right after a repair.
 	SettleTime = 2 * time.Second
-	// DrainTimeout is when a drain that does not complete is taken back.
+	// DrainTimeout is how long a drain may take before it is abandoned.
 	DrainTimeout = 60 * time.Second
-	// ReturnTimeout is when an instance that does not come back is stuck.
+	// ReturnTimeout is how long an instance may take to return before it is marked
+	// as stuck.
 	ReturnTimeout = 120 * time.Second
 )
 
-// Observations is what the leader knows beyond the replicated state.
+// Observations is what the leader has observed in addition to the replicated state.
 type Observations struct {
-	// UpSince is when an instance was first seen up in its present
-	// incarnation, without a break.
+	// UpSince is since when an instance has been up without interruption in its
+	// current incarnation.
 	UpSince map[weir.InstanceID]time.Time
 }
 
-// NextCommands returns the commands to propose now.
-func NextCommands(rd fsm.Reader, ev Observations, now time.Time) []command.Command {
-	pl := &planner{rd: rd, ev: ev, now: now, headroom: map[weir.PoolName]int{}}
+// NextCommands returns the commands that the leader should propose now.
+func NextCommands(rd fsm.Reader, obs Observations, now time.Time) []command.Command {
+	pl := &planner{rd: rd, obs: obs, now: now, headroom: map[weir.PoolName]int{}}
 	for _, pool := range rd.Pools() {
 		pl.headroom[pool.Name] = rd.Headroom(pool.Name)
 	}
-	busy := pl.unsettled()
-	pl.followUp(busy)
-	pl.reachHomes(busy)
+	members := pl.inTransition()
+	pl.completeOperations(members)
+	pl.moveToConfiguredPools(members)
 	for _, wv := range rd.Waves() {
-		pl.grant(wv)
+		pl.grantPermits(wv)
 	}
-	return pl.steps
+	return pl.commands
 }
 
 type planner struct {
 	rd       fsm.Reader
-	ev       Observations
+	obs      Observations
 	now      time.Time
 	headroom map[weir.PoolName]int
-	steps    []command.Command
+	commands []command.Command
 }
 
 func (pl *planner) add(cmd command.Command) {
 	cmd.At = pl.now
-	pl.steps = append(pl.steps, cmd)
+	pl.commands = append(pl.commands, cmd)
 }
 
-// unsettled returns the members that are under way or not at home, in order
-// of their names. Most members are neither, so that sorting costs little.
-func (pl *planner) unsettled() []view.Member {
+// inTransition returns the members that are not serving or not in their configured
+// pool, sorted by instance. These are few, so sorting them is cheap.
+func (pl *planner) inTransition() []view.Member {
 	var list []view.Member
 	for _, mem := range pl.rd.Members() {
 		if mem.Phase != view.Serving || mem.Pool != mem.ConfiguredPool {
@@ -76,24 +78,24 @@
 	return list
 }
 
-// followUp ends what has been started: abandons drains, releases permits,
-// marks instances that do not come back.
-func (pl *planner) followUp(busy []view.Member) {
-	for _, mem := range busy {
+// completeOperations completes operations in progress: it abandons drains,
+// releases permits and marks instances that do not return as stuck.
+func (pl *planner) completeOperations(members []view.Member) {
+	for _, mem := range members {
 		switch mem.Phase {
 		case view.Draining:
-			pl.followDrain(mem)
+			pl.checkDrain(mem)
 		case view.Returning:
-			pl.followReturn(mem)
+			pl.checkReturn(mem)
 		case view.Serving, view.Drained:
 		}
 	}
 }
 
-func (pl *planner) followDrain(mem view.Member) {
+func (pl *planner) checkDrain(mem view.Member) {
 	reason := ""
 	switch {
-	case mem.Purpose == view.ForMaintenance && !pl.waveGoesOn(mem.Wave):
+	case mem.Purpose == view.ForMaintenance && !pl.waveRunning(mem.Wave):
 		reason = "wave " + mem.Wave + " is not running"
 	case pl.now.Sub(mem.SinceAt) > DrainTimeout:
 		reason = "drain did not complete in " + DrainTimeout.String()
@@ -103,7 +105,7 @@
 	}
 }
 
-func (pl *planner) waveGoesOn(name string) bool {
+func (pl *planner) waveRunning(name string) bool {
 	for _, wv := range pl.rd.Waves() {
 		if wv.Name == name {
 			return wv.State == fsm.WaveRunning
@@ -112,10 +114,10 @@
 	return false
 }
 
-func (pl *planner) followReturn(mem view.Member) {
+func (pl *planner) checkReturn(mem view.Member) {
 	sta := pl.rd.Statuses()[mem.Instance]
 	back := sta.Up && sta.Incarnation > mem.OldIncarnation
-	since, seen := pl.ev.UpSince[mem.Instance]
+	since, seen := pl.obs.UpSince[mem.Instance]
 	if back && seen && pl.now.Sub(since) >= SettleTime {
 		pl.add(command.Command{Release: &command.PermitRelease{Instance: mem.Instance}})
 		return
@@ -125,10 +127,10 @@
 	}
 }
 
-// reachHomes moves instances to the pool that the configuration names and
-// retires those it no longer holds, as far as budgets allow.
-func (pl *planner) reachHomes(busy []view.Member) {
-	for _, mem := range busy {
+// moveToConfiguredPools moves instances to their configured pool and retires those
+// that are no longer configured, within the availability budgets.
+func (pl *planner) moveToConfiguredPools(members []view.Member) {
+	for _, mem := range members {
 		if mem.Phase != view.Serving || mem.Lent || mem.Pool == mem.ConfiguredPool {
 			continue
 		}
@@ -149,16 +151,16 @@
 	}
 }
 
-// grant proposes permits while the wave and the budgets allow more. Instances
-// of pools with the most headroom go first, so that one tight pool does not
-// hold up the wave.
-func (pl *planner) grant(wv *fsm.Wave) {
+// grantPermits proposes permits up to the limit of the wave and the availability
+// budgets. Instances of pools with the most headroom go first, so that a pool
+// without headroom does not hold up the wave.
+func (pl *planner) grantPermits(wv *fsm.Wave) {
 	if wv.State != fsm.WaveRunning {
 		return
 	}
-	room := wv.MaxParallel - len(wv.Active)
+	free := wv.MaxParallel - len(wv.Active)
 	for _, id := range pl.candidates(wv) {
-		if room < 1 {
+		if free < 1 {
 			return
 		}
 		pool := pl.rd.Members()[id].Pool
@@ -166,7 +168,7 @@
 			continue
 		}
 		pl.headroom[pool]--
-		room--
+		free--
 		pl.add(command.Command{Permit: &command.PermitGrant{Wave: wv.Name, Instance: id}})
 	}
 }
@@ -180,9 +182,9 @@
 		}
 	}
 	sort.Slice(ids, func(a, b int) bool {
-		roomA, roomB := pl.headroom[pl.rd.Members()[ids[a]].Pool], pl.headroom[pl.rd.Members()[ids[b]].Pool]
-		if roomA != roomB {
-			return roomA > roomB
+		headroomA, headroomB := pl.headroom[pl.rd.Members()[ids[a]].Pool], pl.headroom[pl.rd.Members()[ids[b]].Pool]
+		if headroomA != headroomB {
+			return headroomA > headroomB
 		}
 		return ids[a] < ids[b]
 	})
