--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -1,13 +1,13 @@
-// Package httpconn sends one HTTP request to an endpoint and tells truthfully
-// what became of it. It keeps idle connections, but puts a request that must
-// not be repeated only on a connection that has proven itself within
-// ProofAge; otherwise it dials a new one.
+// Package httpconn sends HTTP requests to endpoints and reports for each failed
+// request whether the endpoint may have received it. It keeps idle connections,
+// but reuses a connection for a request that must not be repeated only if the
+// connection delivered a response within MaxReuseAge; otherwise it dials a new one.
 //
 // Usage:
 //
 //	pl := httpconn.NewPool("127.0.0.1:9000", 64, clk)
 //	resp, err := pl.Do(ctx, httpconn.Request{Method: "POST", Path: "/work", Body: body})
-//	fault.Is(err, httpconn.KindNotSent) // the endpoint certainly got nothing
+//	errkind.Is(err, httpconn.KindNotSent) // the endpoint did not receive anything
 package httpconn
 
 import (
@@ -27,16 +27,16 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
 const (
-	// KindNotSent says that not one byte of the request was handed over.
+	// KindNotSent means that no byte of the request was written to the socket.
 	KindNotSent Kind = "not sent"
-	// KindBroken says that the endpoint may have got the request.
+	// KindBroken means that the endpoint may have received the request.
 	KindBroken Kind = "connection broken after sending"
-	// KindTooLarge says that the answer is longer than is carried.
+	// KindTooLarge means that the response body exceeds MaxBodyBytes.
 	KindTooLarge Kind = "answer too large"
 )
 
@@ -44,34 +44,35 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// MaxReuseAge is how long a connection counts as proven after it answered.
+	// MaxReuseAge is how long after a response a connection is reused for a request
+	// that must not be repeated.
 	MaxReuseAge = time.Second
-	// MaxBodyBytes bounds the body of an answer.
+	// MaxBodyBytes is the maximum size of a response body.
 	MaxBodyBytes = 4 << 20
 
 	dialTimeout = 500 * time.Millisecond
-	idleAge     = 30 * time.Second
+	idleTimeout = 30 * time.Second
 	bufferBytes = 8 << 10
 )
 
-// Header is one header field.
+// Header is one HTTP header.
 type Header struct{ Name, Value string }
 
-// Request is what is sent to an endpoint.
+// Request is an HTTP request to an endpoint.
 type Request struct {
 	Method string
-	// Host names the endpoint; empty stands for the pool's address.
+	// Host is the Host header; if empty, the pool's address is used.
 	Host string
-	// Path may have a query; it is sent as it is.
+	// Path may include a query; it is sent unchanged.
 	Path    string
 	Headers []Header
 	Body    []byte
-	// Repeatable requests may be put on a connection that has not proven
-	// itself lately.
+	// Repeatable allows an idle connection without a recent response, which may
+	// turn out to be broken.
 	Repeatable bool
 }
 
-// Response is a whole answer of an endpoint.
+// Response is a complete response of an endpoint.
 type Response struct {
 	Status int
 	Body   []byte
@@ -79,7 +80,7 @@
 	raw *fasthttp.Response
 }
 
-// Header returns the value of a header field, "" where there is none.
+// Header returns the value of a header, "" if it is missing.
 func (rs *Response) Header(name string) string { return string(rs.raw.Header.Peek(name)) }
 
 // Pool holds the connections to one endpoint.
@@ -88,8 +89,9 @@
 	clk   weir.Clock
 	limit chan struct{}
 
-	// all are the pools that share a budget of connections; nil has none.
-	all *Pools
+	// shared holds the pools that share a soft limit on connections; nil means no
+	// soft limit.
+	shared *Pools
 
 	mu     sync.Mutex
 	idle   []*conn
@@ -98,16 +100,17 @@
 	open int
 }
 
-// conn is one connection; provenAt is when it last gave a whole answer.
+// conn is one connection; lastResponseAt is when it last delivered a complete
+// response.
 type conn struct {
 	net.Conn
-	rd       *bufio.Reader
-	wr       *bufio.Writer
-	sent     *countingWriter
-	provenAt time.Time
+	rd             *bufio.Reader
+	wr             *bufio.Writer
+	sent           *countingWriter
+	lastResponseAt time.Time
 }
 
-// countingWriter counts the bytes that were handed to the socket.
+// countingWriter counts the bytes written to the socket.
 type countingWriter struct {
 	wr    io.Writer
 	count int
@@ -125,18 +128,20 @@
 	return &Pool{addr: addr, clk: clk, limit: make(chan struct{}, limit)}
 }
 
-// Close closes idle connections; those in use are closed when they are done.
+// Close closes idle connections; connections in use are closed after their
+// request.
 func (pl *Pool) Close() {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	pl.closed = true
 	for _, cn := range pl.idle {
-		pl.drop(cn)
+		pl.discard(cn)
 	}
 	pl.idle = nil
 }
 
-// Do sends the request and reads the whole answer.
+// Do sends the request and reads the complete response. It returns an Error; its
+// Kind tells whether the endpoint may have received the request.
 func (pl *Pool) Do(ctx context.Context, req Request) (*Response, error) {
 	select {
 	case pl.limit <- struct{}{}:
@@ -144,37 +149,37 @@
 		return nil, &Error{Op: "connect " + pl.addr, Kind: KindNotSent, Err: errors.New("all connections in use")}
 	}
 	defer func() { <-pl.limit }()
-	cn, err := pl.take(ctx, req.Repeatable)
+	cn, err := pl.acquire(ctx, req.Repeatable)
 	if err != nil {
 		return nil, &Error{Op: "connect " + pl.addr, Kind: KindNotSent, Err: err}
 	}
-	resp, reusable, err := pl.exchange(ctx, cn, req)
+	resp, reusable, err := pl.roundTrip(ctx, cn, req)
 	if err != nil || !reusable {
 		pl.mu.Lock()
-		pl.drop(cn)
+		pl.discard(cn)
 		pl.mu.Unlock()
 		return resp, err
 	}
-	pl.give(cn)
+	pl.release(cn)
 	return resp, nil
 }
 
-// take returns an idle connection that is proven, or a new one.
-func (pl *Pool) take(ctx context.Context, repeatable bool) (*conn, error) {
+// acquire returns an idle connection that may be reused, or a new one.
+func (pl *Pool) acquire(ctx context.Context, repeatable bool) (*conn, error) {
 	now := pl.clk.Now()
 	maxAge := MaxReuseAge
 	if repeatable {
-		maxAge = idleAge
+		maxAge = idleTimeout
 	}
 	pl.mu.Lock()
 	for len(pl.idle) > 0 {
 		cn := pl.idle[len(pl.idle)-1]
 		pl.idle = pl.idle[:len(pl.idle)-1]
-		if now.Sub(cn.provenAt) <= maxAge {
+		if now.Sub(cn.lastResponseAt) <= maxAge {
 			pl.mu.Unlock()
 			return cn, nil
 		}
-		pl.drop(cn)
+		pl.discard(cn)
 	}
 	pl.mu.Unlock()
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -185,51 +190,52 @@
 	pl.mu.Lock()
 	pl.open++
 	pl.mu.Unlock()
-	if pl.all != nil {
-		pl.all.open.Add(1)
+	if pl.shared != nil {
+		pl.shared.open.Add(1)
 	}
 	sent := &countingWriter{wr: raw}
 	return &conn{Conn: raw, rd: bufio.NewReaderSize(raw, bufferBytes), wr: bufio.NewWriterSize(sent, bufferBytes), sent: sent}, nil
 }
 
-func (pl *Pool) give(cn *conn) {
-	cn.provenAt = pl.clk.Now()
+func (pl *Pool) release(cn *conn) {
+	cn.lastResponseAt = pl.clk.Now()
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	crowded := pl.all != nil && pl.open > 1 && pl.all.open.Load() > pl.all.budget
-	if pl.closed || crowded {
-		pl.drop(cn)
+	overLimit := pl.shared != nil && pl.open > 1 && pl.shared.open.Load() > pl.shared.softLimit
+	if pl.closed || overLimit {
+		pl.discard(cn)
 		return
 	}
 	pl.idle = append(pl.idle, cn)
 }
 
-// drop closes a connection. It runs with the lock held.
-func (pl *Pool) drop(cn *conn) {
+// discard closes a connection. The caller must hold the lock.
+func (pl *Pool) discard(cn *conn) {
 	_ = cn.Close()
 	pl.open--
-	if pl.all != nil {
-		pl.all.open.Add(-1)
+	if pl.shared != nil {
+		pl.shared.open.Add(-1)
 	}
 }
 
-// exchange writes the request and reads the answer. The connection is closed
-// when the context ends, which frees a call on a silent connection.
-func (pl *Pool) exchange(ctx context.Context, cn *conn, req Request) (*Response, bool, error) {
+// roundTrip writes the request and reads the response; the second result reports
+// whether the connection can be reused. The connection is closed when the context
+// ends, so that a call on an unresponsive connection returns.
+func (pl *Pool) roundTrip(ctx context.Context, cn *conn, req Request) (*Response, bool, error) {
 	stop := context.AfterFunc(ctx, func() { reset(cn.Conn) })
 	defer stop()
 	cn.sent.count = 0
 	if err := pl.write(cn, req); err != nil {
-		return nil, false, &Error{Op: "send to " + pl.addr, Kind: sendKind(cn.sent.count), Err: err}
+		return nil, false, &Error{Op: "send to " + pl.addr, Kind: sendErrorKind(cn.sent.count), Err: err}
 	}
 	raw := &fasthttp.Response{SkipBody: req.Method == http.MethodHead}
 	if err := readHeader(cn, raw); err != nil {
 		return nil, false, &Error{Op: "read from " + pl.addr, Kind: KindBroken, Err: err}
 	}
-	// An answer without a length ends with the connection, so that a cut one
-	// cannot be told from a whole one.
-	if raw.Header.ContentLength() == noLength && bodyAllowed(raw.StatusCode()) && !raw.SkipBody {
-		return nil, false, &Error{Op: "read body from " + pl.addr, Kind: KindBroken, Err: errors.New("answer without a length")}
+	// A response without a length ends with the connection, so a truncated response
+	// cannot be told from a complete one.
+	if raw.Header.ContentLength() == noContentLength && bodyAllowed(raw.StatusCode()) && !raw.SkipBody {
+		return nil, false, &Error{Op: "read body from " + pl.addr, Kind: KindBroken, Err: errors.New("response has no content length")}
 	}
 	if !raw.SkipBody && bodyAllowed(raw.StatusCode()) {
 		if err := raw.ReadBody(cn.rd, MaxBodyBytes); err != nil {
@@ -244,9 +250,9 @@
 	return resp, stop() && !raw.ConnectionClose(), nil
 }
 
-// noLength is what the library says of an answer that ends with the
+// noContentLength is fasthttp's content length for a response that ends with the
 // connection.
-const noLength = -2
+const noContentLength = -2
 
 func (pl *Pool) write(cn *conn, req Request) error {
 	raw := fasthttp.AcquireRequest()
@@ -268,8 +274,8 @@
 	return cn.wr.Flush()
 }
 
-// readHeader reads the header of the answer proper, past those that only
-// announce it.
+// readHeader reads the header of the final response and skips informational (1xx)
+// responses.
 func readHeader(cn *conn, raw *fasthttp.Response) error {
 	for {
 		if err := raw.Header.Read(cn.rd); err != nil {
@@ -281,11 +287,11 @@
 	}
 }
 
-// reset closes a connection so that what the network still holds of it is
-// dropped, and does not arrive seconds later.
+// reset closes a connection with a TCP reset, so that data still in the network is
+// discarded and does not arrive seconds later.
 func reset(cn net.Conn) {
 	if tcp, ok := cn.(*net.TCPConn); ok {
-		// Where it cannot be set, the close is an ordinary one.
+		// If SetLinger fails, the connection is closed normally.
 		_ = tcp.SetLinger(0)
 	}
 	_ = cn.Close()
@@ -295,7 +301,7 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-func sendKind(sent int) Kind {
+func sendErrorKind(sent int) Kind {
 	if sent == 0 {
 		return KindNotSent
 	}
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -19,8 +19,9 @@
 	"greengageweir/internal/duty/errkind"
 )
 
-// scripted serves each connection with a function and counts connections.
-func scripted(t *testing.T, serve func(conn net.Conn, rd *bufio.Reader)) (addr string, conns *atomic.Int32) {
+// serveScript starts a server that handles each connection with the given function,
+// and counts its connections.
+func serveScript(t *testing.T, serve func(conn net.Conn, rd *bufio.Reader)) (addr string, conns *atomic.Int32) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = lis.Close() })
@@ -50,8 +51,8 @@
 	return err == nil
 }
 
-// after reads a request, writes a text and hangs up.
-func after(text string) func(net.Conn, *bufio.Reader) {
+// respondAndClose reads a request, writes the text and closes the connection.
+func respondAndClose(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, rd *bufio.Reader) {
 		if readRequest(rd) {
 			_, _ = io.WriteString(conn, text)
@@ -59,39 +60,39 @@
 	}
 }
 
-// booking is a request that must not be repeated.
-var booking = Request{Method: http.MethodPost, Host: "endpoint", Path: "/work", Body: []byte("body")}
+// nonRepeatable is a request that must not be repeated.
+var nonRepeatable = Request{Method: http.MethodPost, Host: "endpoint", Path: "/work", Body: []byte("body")}
 
-// TestFailurePoints is the table of places where an exchange can break and
-// what may truthfully be said of each.
+// TestFailurePoints checks the error kind for each point at which an exchange can
+// fail.
 func TestFailurePoints(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	cases := []struct {
 		name  string
 		serve func(net.Conn, *bufio.Reader)
-		kind  Kind // "" for a whole answer
+		kind  Kind // "" for a complete response
 	}{
-		{"whole", after(head + "Content-Length: 2\r\n\r\nok"), ""},
-		{"whole and chunked", after(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), ""},
+		{"whole", respondAndClose(head + "Content-Length: 2\r\n\r\nok"), ""},
+		{"complete and chunked", respondAndClose(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), ""},
 		{"closed at once", func(net.Conn, *bufio.Reader) {}, KindBroken},
-		{"closed after the request", after(""), KindBroken},
-		{"closed in the status line", after("HTTP/1.1 2"), KindBroken},
-		{"closed in the header", after(head + "Content-Le"), KindBroken},
-		{"closed in the body", after(head + "Content-Length: 9\r\n\r\nhalf"), KindBroken},
-		{"closed in a chunk", after(head + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"), KindBroken},
-		{"closed before the last chunk", after(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"), KindBroken},
-		{"announced, then whole", after("HTTP/1.1 103 Early Hints\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok"), ""},
-		{"no length", after(head + "\r\nmaybe whole"), KindBroken},
-		{"not HTTP", after("hello\r\n\r\n"), KindBroken},
-		{"too large", after(head + "Content-Length: 5000000\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+2)), KindTooLarge},
+		{"closed after the request", respondAndClose(""), KindBroken},
+		{"closed in the status line", respondAndClose("HTTP/1.1 2"), KindBroken},
+		{"closed in the header", respondAndClose(head + "Content-Le"), KindBroken},
+		{"closed in the body", respondAndClose(head + "Content-Length: 9\r\n\r\nhalf"), KindBroken},
+		{"closed in a chunk", respondAndClose(head + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"), KindBroken},
+		{"closed before the last chunk", respondAndClose(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"), KindBroken},
+		{"informational, then final response", respondAndClose("HTTP/1.1 103 Early Hints\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok"), ""},
+		{"no length", respondAndClose(head + "\r\nmaybe whole"), KindBroken},
+		{"not HTTP", respondAndClose("hello\r\n\r\n"), KindBroken},
+		{"too large", respondAndClose(head + "Content-Length: 5000000\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+2)), KindTooLarge},
 		{"silent", func(_ net.Conn, rd *bufio.Reader) { _, _ = io.Copy(io.Discard, rd) }, KindBroken},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			addr, _ := scripted(t, tc.serve)
+			addr, _ := serveScript(t, tc.serve)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			resp, err := NewPool(addr, 1, clock.System{}).Do(ctx, booking)
+			resp, err := NewPool(addr, 1, clock.System{}).Do(ctx, nonRepeatable)
 			if tc.kind == "" {
 				require.NoError(t, err)
 				require.Equal(t, "ok", string(resp.Body))
@@ -107,46 +108,47 @@
 	require.NoError(t, err)
 	addr := lis.Addr().String()
 	require.NoError(t, lis.Close())
-	_, err = NewPool(addr, 1, clock.System{}).Do(context.Background(), booking)
+	_, err = NewPool(addr, 1, clock.System{}).Do(context.Background(), nonRepeatable)
 	require.True(t, errkind.Is(err, KindNotSent), "nobody listens")
 
 	pl := NewPool(addr, 1, clock.System{})
 	pl.limit <- struct{}{}
-	_, err = pl.Do(context.Background(), booking)
+	_, err = pl.Do(context.Background(), nonRepeatable)
 	require.True(t, errkind.Is(err, KindNotSent), "all connections in use")
 }
 
-// TestUnprovenConnection lets a kept connection go silent. Only a request
-// that may be repeated is put on it.
-func TestUnprovenConnection(t *testing.T) {
+// TestStaleConnectionIsNotReused covers an idle connection whose endpoint no longer
+// responds. Only a repeatable request may use it.
+func TestStaleConnectionIsNotReused(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1_800_000_000, 0))
-	addr, conns := scripted(t, func(conn net.Conn, rd *bufio.Reader) {
+	addr, conns := serveScript(t, func(conn net.Conn, rd *bufio.Reader) {
 		if readRequest(rd) {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 		_, _ = io.Copy(io.Discard, rd)
 	})
 	pl := NewPool(addr, 4, clk)
-	_, err := pl.Do(context.Background(), booking)
+	_, err := pl.Do(context.Background(), nonRepeatable)
 	require.NoError(t, err)
 	clk.Advance(MaxReuseAge + time.Millisecond)
 	patient, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	_, err = pl.Do(patient, booking)
-	require.NoError(t, err, "a booking gets a new connection")
+	_, err = pl.Do(patient, nonRepeatable)
+	require.NoError(t, err, "a request that must not be repeated gets a new connection")
 	require.Equal(t, int32(2), conns.Load())
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	read := booking
+	read := nonRepeatable
 	read.Repeatable = true
 	_, err = pl.Do(ctx, read)
-	require.True(t, errkind.Is(err, KindBroken), "a read may find out")
+	require.True(t, errkind.Is(err, KindBroken), "a repeatable request uses the stale connection")
 	require.Equal(t, int32(2), conns.Load())
 }
 
-// TestAbandonedRequestIsReset: what waits in the network must not arrive later
-// as if the connection had been closed in good order.
-func TestAbandonedRequestIsReset(t *testing.T) {
+// TestCancelledRequestResetsConnection checks that the endpoint sees a TCP reset
+// when a request is cancelled. After a normal close, data still in the network would
+// arrive later as a regular request.
+func TestCancelledRequestResetsConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
@@ -158,21 +160,22 @@
 			return
 		}
 		defer conn.Close()
-		_, err = io.Copy(io.Discard, conn) // io.EOF is no error to Copy
+		_, err = io.Copy(io.Discard, conn) // Copy does not return io.EOF
 		ended <- err
 	}()
 	pl := NewPool(lis.Addr().String(), 1, clock.System{})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err = pl.Do(ctx, booking)
+	_, err = pl.Do(ctx, nonRepeatable)
 	require.Error(t, err)
 	require.ErrorIs(t, <-ended, syscall.ECONNRESET)
 }
 
-// TestWhatIsSent reads a request and an answer the way the other side does.
-func TestWhatIsSent(t *testing.T) {
+// TestRequestAndResponseEncoding checks the request as a standard HTTP server reads
+// it, and the decoded response.
+func TestRequestAndResponseEncoding(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	addr, _ := scripted(t, func(conn net.Conn, rd *bufio.Reader) {
+	addr, _ := serveScript(t, func(conn net.Conn, rd *bufio.Reader) {
 		req, err := http.ReadRequest(rd)
 		if err != nil {
 			return
@@ -197,8 +200,8 @@
 	require.Equal(t, int64(2), req.ContentLength)
 }
 
-func TestAnswerToHeadHasNoBody(t *testing.T) {
-	addr, conns := scripted(t, func(conn net.Conn, rd *bufio.Reader) {
+func TestHeadResponseHasNoBody(t *testing.T) {
+	addr, conns := serveScript(t, func(conn net.Conn, rd *bufio.Reader) {
 		for readRequest(rd) {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")
 		}
@@ -212,15 +215,15 @@
 	require.Equal(t, int32(1), conns.Load())
 }
 
-// TestManyAddressesKeepOneConnectionEach plays a fleet whose workers are more
-// than the descriptors would allow two connections to.
-func TestManyAddressesKeepOneConnectionEach(t *testing.T) {
+// TestSoftLimitKeepsOneConnectionPerAddress covers a fleet with so many workers that
+// two connections to each would exceed the file descriptors.
+func TestSoftLimitKeepsOneConnectionPerAddress(t *testing.T) {
 	ps := NewPools(4, clock.System{})
-	ps.budget = 3
+	ps.softLimit = 3
 	gate := make(chan struct{})
 	var addrs []string
 	for range 3 {
-		addr, _ := scripted(t, func(conn net.Conn, rd *bufio.Reader) {
+		addr, _ := serveScript(t, func(conn net.Conn, rd *bufio.Reader) {
 			for readRequest(rd) {
 				<-gate
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -231,13 +234,13 @@
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
 		for range 3 {
-			wg.Go(func() { _, _ = ps.Get(addr).Do(context.Background(), booking) })
+			wg.Go(func() { _, _ = ps.Get(addr).Do(context.Background(), nonRepeatable) })
 		}
 	}
 	require.Eventually(t, func() bool { return ps.open.Load() == 9 }, 10*time.Second, time.Millisecond)
 	close(gate)
 	wg.Wait()
-	require.Equal(t, int64(3), ps.open.Load(), "the others are closed once they are idle")
+	require.Equal(t, int64(3), ps.open.Load(), "connections above the soft limit are closed once they are idle")
 	for _, addr := range addrs {
 		require.Equal(t, 1, ps.Get(addr).open)
 		ps.Forget(addr)
