--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -15,25 +15,25 @@
 	redialMax = time.Second
 )
 
-// Client keeps one link to a server, dialling again when it breaks. Set the
+// Client maintains one link to a server and dials again when it breaks. Set the
 // exported fields before Run.
 type Client struct {
 	Addr  string
 	Token string
 	Self  Identity
-	// HeartbeatInterval is the time between heartbeats; zero is the package's.
+	// HeartbeatInterval is the time between heartbeats; zero selects the default.
 	HeartbeatInterval time.Duration
-	// Handle answers notifications that the server sends; it may be nil.
+	// Handle handles calls and notifications that the server sends; it may be nil.
 	Handle Handler
 
 	mu   sync.Mutex
 	conn *jsonrpc2.Conn
 }
 
-// String is the step's name in logs.
+// String returns the component's name for logs.
 func (cl *Client) String() string { return "link to " + cl.Addr }
 
-// Default checks the settings.
+// Default validates the settings.
 func (cl *Client) Default() error {
 	if cl.Addr == "" || cl.Token == "" {
 		return &Error{Op: "peer client", Kind: KindDenied, Err: errors.New("address or token missing")}
@@ -41,11 +41,11 @@
 	return nil
 }
 
-// Run keeps the link up until the context ends.
+// Run keeps the link connected until the context ends.
 func (cl *Client) Run(ctx context.Context) error {
 	wait := redialMin
 	for ctx.Err() == nil {
-		if cl.session(ctx) {
+		if cl.runLink(ctx) {
 			wait = redialMin
 		}
 		select {
@@ -57,28 +57,28 @@
 	return nil
 }
 
-// session dials, greets and keeps the link until it breaks. It reports whether
-// the link was up.
-func (cl *Client) session(ctx context.Context) bool {
+// runLink dials, performs the handshake and keeps the link until it breaks. It
+// reports whether the handshake succeeded.
+func (cl *Client) runLink(ctx context.Context) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", cl.Addr)
 	if err != nil {
 		return false
 	}
-	stream := jsonrpc2.NewBufferedStream(newGuardedConn(raw), frameCodec{})
-	conn := jsonrpc2.NewConn(ctx, stream, &clientHandler{cl: cl}, jsonrpc2.SetLogger(quiet{}))
+	stream := jsonrpc2.NewBufferedStream(newDeadlineConn(raw), frameCodec{})
+	conn := jsonrpc2.NewConn(ctx, stream, &clientHandler{cl: cl}, jsonrpc2.SetLogger(discardLogger{}))
 	defer func() { _ = conn.Close() }()
-	if err := timedCall(ctx, conn, methodHello, hello{Version: ProtocolVersion, Token: cl.Token, Self: cl.Self}); err != nil {
+	if err := callWithTimeout(ctx, conn, methodHello, hello{Version: ProtocolVersion, Token: cl.Token, Self: cl.Self}); err != nil {
 		return false
 	}
 	cl.setConn(conn)
 	defer cl.setConn(nil)
-	cl.beat(ctx, conn)
+	cl.sendHeartbeats(ctx, conn)
 	return true
 }
 
-// beat sends heartbeats until one is not answered in time.
-func (cl *Client) beat(ctx context.Context, conn *jsonrpc2.Conn) {
+// sendHeartbeats sends heartbeats until one fails or times out.
+func (cl *Client) sendHeartbeats(ctx context.Context, conn *jsonrpc2.Conn) {
 	every := cl.HeartbeatInterval
 	if every == 0 {
 		every = HeartbeatInterval
@@ -92,14 +92,14 @@
 		case <-conn.DisconnectNotify():
 			return
 		case <-ticker.C:
-			if timedCall(ctx, conn, methodBeat, nil) != nil {
+			if callWithTimeout(ctx, conn, methodHeartbeat, nil) != nil {
 				return
 			}
 		}
 	}
 }
 
-func timedCall(ctx context.Context, conn *jsonrpc2.Conn, method string, params any) error {
+func callWithTimeout(ctx context.Context, conn *jsonrpc2.Conn, method string, params any) error {
 	ctx, cancel := context.WithTimeout(ctx, LinkTimeout)
 	defer cancel()
 	return conn.Call(ctx, method, params, nil)
@@ -111,17 +111,19 @@
 	cl.conn = conn
 }
 
-// Conn returns the present connection, nil while the link is down.
+// Conn returns the current connection, nil while the link is down.
 func (cl *Client) Conn() *jsonrpc2.Conn {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.conn
 }
 
-// Connected reports whether the link is up.
+// Connected reports whether the link is connected.
 func (cl *Client) Connected() bool { return cl.Conn() != nil }
 
-// Call sends a request and waits for its result.
+// Call sends a request and waits for its result. The error is of KindNotSent if the
+// link is down, of KindRemote if the other side returned an error and of KindLost if
+// the request may have been handled.
 func (cl *Client) Call(ctx context.Context, method string, params, result any) error {
 	conn := cl.Conn()
 	if conn == nil {
@@ -135,11 +137,12 @@
 	if errors.As(err, &remote) {
 		return &Error{Op: method, Kind: KindRemote, Err: remote}
 	}
-	// The library does not tell whether a broken link had sent the request.
+	// The library does not report whether the request was sent before the link
+	// broke.
 	return &Error{Op: method, Kind: KindLost, Err: err}
 }
 
-// Notify sends a notification; it is dropped where the link is down.
+// Notify sends a notification; it is dropped if the link is down.
 func (cl *Client) Notify(ctx context.Context, method string, params any) error {
 	conn := cl.Conn()
 	if conn == nil {
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// clientHandler handles what the server sends on a client's link.
+// clientHandler handles calls and notifications from the server.
 type clientHandler struct{ cl *Client }
 
 // Handle implements jsonrpc2.Handler.
@@ -165,6 +168,6 @@
 	}
 	result, err := ch.cl.Handle(ctx, call)
 	if !req.Notif {
-		answer(ctx, conn, req.ID, result, err)
+		sendReply(ctx, conn, req.ID, result, err)
 	}
 }
--- a/internal/link/peer/codec.go
+++ b/internal/link/peer/codec.go
@@ -7,11 +7,11 @@
 	"io"
 )
 
-// maxFrameBytes bounds one message between processes.
+// maxFrameBytes is the maximum size of one message between processes.
 const maxFrameBytes = 48 << 20
 
-// frameCodec writes a length and a JSON body. It differs from the library's
-// codecs in that the length is bounded before anything is read.
+// frameCodec writes a 4-byte length and a JSON body. Unlike the library's codecs, it
+// checks the length before it reads the body.
 type frameCodec struct{}
 
 // WriteObject implements jsonrpc2.ObjectCodec.
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -1,13 +1,14 @@
-// Package peer links the system's own processes: JSON-RPC 2.0 over TCP with a
-// bounded frame, a greeting that proves the peer token, and heartbeats, so
-// that a link that has gone silent is replaced within SilentAfter.
+// Package peer connects the processes of the system with each other: JSON-RPC 2.0
+// over TCP with a maximum frame size, a handshake that checks the peer token, and
+// heartbeats, so that an unresponsive link is closed after LinkTimeout and dialled
+// again.
 //
 // Usage:
 //
 //	srv := &peer.Server{Addr: "127.0.0.1:7000", Token: token, Handle: handle}
 //	cl := &peer.Client{Addr: "127.0.0.1:7000", Token: token, Self: self}
 //	err := cl.Call(ctx, "view.report", params, &result)
-//	fault.Is(err, peer.KindNotSent) // the other side certainly did not get it
+//	errkind.Is(err, peer.KindNotSent) // the other side did not receive the request
 package peer
 
 import (
@@ -21,14 +22,14 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
 const (
-	// KindNotSent says that the request certainly did not reach the other side.
+	// KindNotSent means that the request did not reach the other side.
 	KindNotSent Kind = "not sent"
-	// KindLost says that the request may have been handled.
+	// KindLost means that the other side may have handled the request.
 	KindLost     Kind = "reply lost"
 	KindRemote   Kind = "refused by the other side"
 	KindTooLarge Kind = "frame too large"
@@ -40,28 +41,29 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// ProtocolVersion is sent in each greeting.
+	// ProtocolVersion is sent in each handshake.
 	ProtocolVersion = 1
-	// HeartbeatInterval is the time between heartbeats of a link.
+	// HeartbeatInterval is the default time between heartbeats on a link.
 	HeartbeatInterval = 300 * time.Millisecond
-	// LinkTimeout is the time after which a link without an answer is closed.
+	// LinkTimeout is the timeout for each read, write and heartbeat; a link that
+	// exceeds it is closed.
 	LinkTimeout = 1500 * time.Millisecond
 
-	methodHello = "link.hello"
-	methodBeat  = "link.beat"
+	methodHello     = "link.hello"
+	methodHeartbeat = "link.beat"
 
 	dialTimeout = 500 * time.Millisecond
 	writeBuffer = 64 << 10
 )
 
-// Identity names a process.
+// Identity identifies a process.
 type Identity struct {
 	ID   string `json:"id"`
 	Role string `json:"role"`
 	Zone string `json:"zone"`
 }
 
-// hello is the first request on a link.
+// hello is the handshake request, the first request on a link.
 type hello struct {
 	Version int      `json:"version"`
 	Token   string   `json:"token"`
@@ -77,7 +79,8 @@
 	Conn *jsonrpc2.Conn
 }
 
-// Decode decodes the parameters of a call.
+// Decode decodes the parameters of a call. It returns a JSON-RPC error for invalid
+// parameters.
 func (ca Call) Decode(into any) error {
 	if err := json.Unmarshal(ca.Params, into); err != nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
@@ -85,11 +88,12 @@
 	return nil
 }
 
-// Handler answers calls. Notifications are handled in order on the reading
-// goroutine and must not block.
+// Handler handles calls and returns their results. Notifications are handled in
+// order on the reading goroutine and must not block.
 type Handler func(ctx context.Context, call Call) (any, error)
 
-// MethodNotFound returns the error for a method that a process does not have.
+// MethodNotFound returns the JSON-RPC error for a method that a process does not
+// implement.
 func MethodNotFound(method string) error {
 	return &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + method}
 }
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -79,7 +79,7 @@
 	require.True(t, errkind.Is(cl.Call(context.Background(), "echo", "hi", nil), KindNotSent))
 }
 
-func TestOversizedFrameEndsTheLink(t *testing.T) {
+func TestOversizedFrameClosesLink(t *testing.T) {
 	sv := startServer(t, echo)
 	conn, err := net.Dial("tcp", sv.Address())
 	require.NoError(t, err)
@@ -88,11 +88,12 @@
 	require.NoError(t, err)
 	require.NoError(t, conn.SetReadDeadline(clock.System{}.Now().Add(5*time.Second)))
 	_, err = io.ReadAll(conn)
-	require.NoError(t, err, "the server hangs up")
+	require.NoError(t, err, "the server closes the connection")
 }
 
-// TestSilentLinkIsReplaced puts a relay between both ends that stops
-// forwarding without closing anything.
+// TestSilentLinkIsReplaced puts a proxy between client and server that stops
+// forwarding without closing a connection. The client must notice the missing
+// heartbeats and dial again.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	sv := startServer(t, echo)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,8 +112,8 @@
 			if err != nil {
 				return
 			}
-			go relay(conn, far, func() bool { return first && silent.Load() })
-			go relay(far, conn, func() bool { return first && silent.Load() })
+			go forward(conn, far, func() bool { return first && silent.Load() })
+			go forward(far, conn, func() bool { return first && silent.Load() })
 		}
 	}()
 	cl := startClient(t, lis.Addr().String(), testToken)
@@ -123,7 +124,7 @@
 	require.NoError(t, cl.Call(context.Background(), "echo", "again", &got))
 }
 
-func relay(from, to net.Conn, silent func() bool) {
+func forward(from, to net.Conn, silent func() bool) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -13,9 +13,9 @@
 
 const (
 	defaultMaxLinks = 1024
-	// maxCallsPerLink bounds the requests of one link that are being handled.
-	maxCallsPerLink = 4096
-	helloTimeout    = 2 * time.Second
+	// maxCallsPerLink is the maximum number of concurrent requests on one link.
+	maxCallsPerLink  = 4096
+	handshakeTimeout = 2 * time.Second
 )
 
 // Server accepts links. Set the exported fields before Run.
@@ -25,17 +25,17 @@
 	Handle   Handler
 	Logger   log.Logger
 	MaxLinks int
-	// OnDisconnect is called when a link has ended; it may be nil.
+	// OnDisconnect is called after a link was closed; it may be nil.
 	OnDisconnect func(conn *jsonrpc2.Conn)
 
 	listener net.Listener
 	links    sync.WaitGroup
 }
 
-// String is the step's name in logs.
+// String returns the component's name for logs.
 func (sv *Server) String() string { return "peer server" }
 
-// Default checks the settings and opens the listener.
+// Default sets defaults, validates the settings and opens the listener.
 func (sv *Server) Default() error {
 	if sv.MaxLinks == 0 {
 		sv.MaxLinks = defaultMaxLinks
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// Address returns the address that the server listens on.
+// Address returns the address on which the server listens.
 func (sv *Server) Address() string { return sv.listener.Addr().String() }
 
-// Run serves until the context ends.
+// Run accepts and serves links until the context ends.
 func (sv *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -91,13 +91,13 @@
 }
 
 func (sv *Server) serve(ctx context.Context, conn net.Conn) {
-	lk := &serverLink{sv: sv, calls: make(chan struct{}, maxCallsPerLink), greeted: make(chan struct{})}
-	stream := jsonrpc2.NewBufferedStream(newGuardedConn(conn), frameCodec{})
-	rpc := jsonrpc2.NewConn(ctx, stream, lk, jsonrpc2.SetLogger(quiet{}))
-	timer := time.NewTimer(helloTimeout)
+	lk := &serverLink{sv: sv, calls: make(chan struct{}, maxCallsPerLink), handshakeDone: make(chan struct{})}
+	stream := jsonrpc2.NewBufferedStream(newDeadlineConn(conn), frameCodec{})
+	rpc := jsonrpc2.NewConn(ctx, stream, lk, jsonrpc2.SetLogger(discardLogger{}))
+	timer := time.NewTimer(handshakeTimeout)
 	defer timer.Stop()
 	select {
-	case <-lk.greeted:
+	case <-lk.handshakeDone:
 	case <-timer.C:
 		_ = rpc.Close()
 	case <-rpc.DisconnectNotify():
@@ -115,20 +115,20 @@
 
 // serverLink is one accepted link.
 type serverLink struct {
-	sv      *Server
-	calls   chan struct{}
-	greeted chan struct{}
-	from    Identity
-	known   bool
+	sv            *Server
+	calls         chan struct{}
+	handshakeDone chan struct{}
+	from          Identity
+	authenticated bool
 }
 
 // Handle implements jsonrpc2.Handler.
 func (lk *serverLink) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	if !lk.known {
-		lk.greet(ctx, conn, req)
+	if !lk.authenticated {
+		lk.handshake(ctx, conn, req)
 		return
 	}
-	if req.Method == methodBeat {
+	if req.Method == methodHeartbeat {
 		_ = conn.Reply(ctx, req.ID, struct{}{})
 		return
 	}
@@ -149,11 +149,11 @@
 	go func() {
 		defer func() { <-lk.calls }()
 		result, err := lk.sv.Handle(ctx, call)
-		answer(ctx, conn, req.ID, result, err)
+		sendReply(ctx, conn, req.ID, result, err)
 	}()
 }
 
-func (lk *serverLink) greet(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (lk *serverLink) handshake(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	var hi hello
 	call := Call{}
 	if req.Params != nil {
@@ -166,12 +166,12 @@
 		return
 	}
 	lk.from = hi.Self
-	lk.known = true
-	close(lk.greeted)
+	lk.authenticated = true
+	close(lk.handshakeDone)
 	_ = conn.Reply(ctx, req.ID, struct{}{})
 }
 
-func answer(ctx context.Context, conn *jsonrpc2.Conn, id jsonrpc2.ID, result any, err error) {
+func sendReply(ctx context.Context, conn *jsonrpc2.Conn, id jsonrpc2.ID, result any, err error) {
 	if err == nil {
 		_ = conn.Reply(ctx, id, result)
 		return
@@ -183,8 +183,9 @@
 	_ = conn.ReplyWithError(ctx, id, rpcErr)
 }
 
-// quiet drops the library's own log lines; link errors reach the callers.
-type quiet struct{}
+// discardLogger drops the library's log lines; callers get link errors as return
+// values.
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
