--- a/internal/schedule/placement/placement.go
+++ b/internal/schedule/placement/placement.go
@@ -29,7 +29,7 @@
 	// AvoidWorker is the worker on which the task last failed or was too slow; it
 	// may be empty.
 	AvoidWorker weir.InstanceID
-	// WaitingSince is when the task became ready or its last run ended.
+	// WaitingSince is when the job was accepted or the task's last run ended.
 	WaitingSince time.Time
 }
 
@@ -44,12 +44,13 @@
 	Spec  spec.Step
 	Pool  weir.PoolName
 	Tasks []Task
-	// Priority orders groups of the same class; 0 goes first.
+	// Priority is the priority of the job's queue; 0 goes first.
 	Priority int
 	// StartBy is the latest start of the step with which the job meets its
 	// objective.
 	StartBy time.Time
-	// RemainingWork is the unfinished work of the whole job, in core-seconds.
+	// RemainingWork is the unfinished work of the whole job occurrence, in
+	// core-seconds.
 	RemainingWork float64
 	// RunsByWorker counts the step's runs at each worker.
 	RunsByWorker map[weir.InstanceID]int
