--- a/internal/job/scheduler/committer.go
+++ b/internal/job/scheduler/committer.go
@@ -110,7 +110,7 @@
 	}
 	results, ok := value.([]store.Result)
 	if !ok || len(results) != len(en.Changes) {
-		return nil, &Error{Op: "commit", Kind: KindInternal, Err: errors.New("number of results differs from number of changes")}
+		return nil, &Error{Op: "commit", Kind: KindInternal, Err: errors.New("an answer for each change is missing")}
 	}
 	return results, nil
 }
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -235,7 +235,7 @@
 	// A response without a length ends with the connection, so a truncated response
 	// cannot be told from a complete one.
 	if raw.Header.ContentLength() == noContentLength && bodyAllowed(raw.StatusCode()) && !raw.SkipBody {
-		return nil, false, &Error{Op: "read body from " + pl.addr, Kind: KindBroken, Err: errors.New("response has no content length")}
+		return nil, false, &Error{Op: "read body from " + pl.addr, Kind: KindBroken, Err: errors.New("answer without a length")}
 	}
 	if !raw.SkipBody && bodyAllowed(raw.StatusCode()) {
 		if err := raw.ReadBody(cn.rd, MaxBodyBytes); err != nil {
