--- a/internal/task/session/decide.go
+++ b/internal/task/session/decide.go
@@ -6,66 +6,67 @@
 	weir "greengageweir"
 )
 
-// verdict is what is to be done about one run.
-type verdict int
+// decision is the action to take for one run.
+type decision int
 
 const (
-	// verdictWait leaves the run as it is.
-	verdictWait verdict = iota
-	// verdictRefused says that the run certainly never started.
-	verdictRefused
-	// verdictLost says that the run is over and left no end.
-	verdictLost
-	// verdictStop says that the run is to be stopped.
-	verdictStop
+	// decisionWait means that nothing is to be done yet.
+	decisionWait decision = iota
+	// decisionRefused means that the run certainly never started.
+	decisionRefused
+	// decisionLost means that the run is over and the worker lists no end of it.
+	decisionLost
+	// decisionStop means that the run must be stopped.
+	decisionStop
 )
 
-// decide holds the rules for a run that the state places at the worker and
-// whose end is not listed:
+// decide returns the decision for a run that is placed at the worker and whose
+// end is not listed:
 //
-//   - refused or never sent: it never started;
-//   - listed: it runs, and is stopped if it is not wanted;
-//   - not listed by a report that was asked for after the worker had confirmed
-//     its start or its stop, or had listed it: it is over. Answers may overtake
-//     each other, so an earlier question proves nothing;
-//   - no report yet, or start under way: wait;
-//   - else nobody knows: stop it by number, after which the worker refuses it.
-func decide(now time.Time, rn run, last report, listed, wanted bool) verdict {
+//   - start refused or never sent: the run never started;
+//   - listed as running: it is kept if it is wanted, else stopped;
+//   - not listed in a report that was requested after the worker confirmed the
+//     start or stop, or after it listed the run: the run is over. Responses may
+//     arrive out of order, so a report requested earlier proves nothing;
+//   - no report yet, or the start order is in flight: wait;
+//   - otherwise the state is unknown: stop the run by its number, after which
+//     the worker refuses to start it.
+func decide(now time.Time, rn runState, last report, listed, wanted bool) decision {
 	switch {
-	case rn.dropped:
-		return verdictRefused
+	case rn.notSent:
+		return decisionRefused
 	case rn.refusal == weir.RefusedIncarnation || rn.refusal == weir.RefusedFenced:
-		// The order was for a life or a leader that is no more; what follows
-		// from that is decided elsewhere.
-		return verdictWait
+		// The order was for an earlier incarnation or from an earlier leader.
+		// The caller handles both cases.
+		return decisionWait
 	case rn.refusal != weir.RefusedNone:
-		return verdictRefused
+		return decisionRefused
 	case listed && wanted:
-		return verdictWait
+		return decisionWait
 	case listed:
-		return verdictStop
+		return decisionStop
 	}
 	if last.sentAt.IsZero() {
-		// Nothing is known of the worker yet, but what it was told.
-		return verdictWait
+		// No report has arrived yet.
+		return decisionWait
 	}
 	after := func(moment time.Time) bool {
-		return !moment.IsZero() && last.sentAt.After(moment) && last.whole
+		return !moment.IsZero() && last.sentAt.After(moment) && last.complete
 	}
 	switch {
-	case after(rn.stopAcked):
-		return verdictLost
-	case after(rn.listedAt), rn.listedAt.IsZero() && after(rn.answered):
-		return verdictLost
+	case after(rn.stopAckedAt):
+		return decisionLost
+	case after(rn.listedAt), rn.listedAt.IsZero() && after(rn.answeredAt):
+		return decisionLost
 	case !wanted:
-		return verdictStop
+		return decisionStop
 	case !rn.listedAt.IsZero():
-		return verdictWait
-	case rn.answered.IsZero() && !rn.sentAt.IsZero() && now.Sub(rn.sentAt) < 2*orderTimeout:
-		return verdictWait
-	case !rn.answered.IsZero():
-		return verdictWait
+		return decisionWait
+	case rn.answeredAt.IsZero() && !rn.sentAt.IsZero() && now.Sub(rn.sentAt) < 2*orderTimeout:
+		return decisionWait
+	case !rn.answeredAt.IsZero():
+		return decisionWait
 	default:
-		return verdictStop
+		return decisionStop
 	}
 }
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -16,127 +16,127 @@
 	weir "greengageweir"
 )
 
-// The exploration drives the real store and the real sessions of leaders that
-// follow each other with two workers and one task, through every sequence of
-// steps up to a depth, and through long sequences drawn at random. Orders are
-// lost, answered too late, or carried out later; answers to renewals overtake
-// each other; changes of the log fail; leases lapse; leaders change.
+// These tests run the real store and the sessions of successive leaders with two
+// model workers and one task. They try every sequence of actions up to a depth,
+// and long random sequences. Orders are lost, not answered, or executed late;
+// responses to renewals arrive out of order; log proposals fail; leases expire;
+// the leader changes.
 const (
 	exploreLease = 3 * time.Second
-	// exploreStep is how long a step takes.
-	exploreStep = 20 * time.Millisecond
-	// exploreDepth is the depth that every test run explores; WEIR_EXPLORE_DEPTH
-	// names another.
+	// actionDuration is the time that passes with each action.
+	actionDuration = 20 * time.Millisecond
+	// exploreDepth is the length of the sequences that are tried exhaustively.
+	// WEIR_EXPLORE_DEPTH overrides it.
 	exploreDepth = 2
-	// walkLength and walks are the length and number of the random sequences;
-	// WEIR_EXPLORE_WALKS names another number.
+	// walkLength and walks are the length and the number of the random
+	// sequences. WEIR_EXPLORE_WALKS overrides the number.
 	walkLength = 40
 	walks      = 1500
 )
 
-// step is one thing that can happen next.
-type step struct {
+// action is one possible next event.
+type action struct {
 	name string
-	do   func()
+	run  func()
 }
 
-// steps lists all that can happen next.
-func (wd *world) steps() []step {
-	var out []step
-	add := func(do func(), name string, args ...any) { out = append(out, step{fmt.Sprintf(name, args...), do}) }
+// actions returns all events that are possible next.
+func (sm *simulation) actions() []action {
+	var out []action
+	add := func(do func(), name string, args ...any) { out = append(out, action{fmt.Sprintf(name, args...), do}) }
 	var tk store.Task
 	var over bool
-	wd.st.Read(func(rd store.Reader) {
+	sm.st.Read(func(rd store.Reader) {
 		over = rd.Job("a").Phase.Terminal()
 		if found := rd.Job("a").Task(exploredTask); found != nil {
 			tk = *found
 		}
 	})
-	for ix, mw := range wd.workers {
-		if !over && !tk.Placed() && wd.sessions[ix].Usable() {
-			for _, ft := range fates {
-				add(func() { wd.place(ix, tk.Run+1, ft) }, "start at %s, fate %d", mw.id, ft)
+	for ix, mw := range sm.workers {
+		if !over && !tk.Placed() && sm.sessions[ix].Usable() {
+			for _, ft := range orderOutcomes {
+				add(func() { sm.place(ix, tk.Run+1, ft) }, "start at %s, outcome %d", mw.id, ft)
 			}
 		}
-		for _, ft := range fates[:2] {
-			add(func() { wd.renew(ix, ft) }, "renew %s, fate %d", mw.id, ft)
+		for _, ft := range orderOutcomes[:2] {
+			add(func() { sm.renew(ix, ft) }, "renew %s, outcome %d", mw.id, ft)
 		}
-		add(func() { wd.renewLate(ix) }, "renew %s, answer comes late", mw.id)
-		for _, ft := range fates {
-			add(func() { wd.reconcile(ix, ft, true) }, "reconcile %s, fate %d", mw.id, ft)
+		add(func() { sm.renewLate(ix) }, "renew %s, late response", mw.id)
+		for _, ft := range orderOutcomes {
+			add(func() { sm.reconcile(ix, ft, true) }, "reconcile %s, outcome %d", mw.id, ft)
 		}
-		add(func() { wd.reconcile(ix, fateAnswered, false) }, "reconcile %s, log fails", mw.id)
+		add(func() { sm.reconcile(ix, outcomeAnswered, false) }, "reconcile %s, proposal fails", mw.id)
 		for key := range mw.runs {
-			add(func() { mw.pass(wd.clk.Now()); wd.finish(mw, key) }, "run ends at %s", mw.id)
+			add(func() { mw.expireLease(sm.clk.Now()); sm.finishRun(mw, key) }, "run ends at %s", mw.id)
 		}
 	}
-	for ix := range wd.delayed {
-		add(func() { wd.take(&wd.delayed, ix) }, "delayed order %d arrives", ix)
+	for ix := range sm.delayedOrders {
+		add(func() { sm.runDeferred(&sm.delayedOrders, ix) }, "delayed order %d arrives", ix)
 	}
-	for ix := range wd.late {
-		add(func() { wd.take(&wd.late, ix) }, "late answer %d arrives", ix)
+	for ix := range sm.lateResponses {
+		add(func() { sm.runDeferred(&sm.lateResponses, ix) }, "late response %d arrives", ix)
 	}
-	add(func() { wd.clk.Advance(exploreLease + exploreLease/10) }, "time passes")
-	add(func() { wd.term++; wd.lead() }, "another leads")
+	add(func() { sm.clk.Advance(exploreLease + exploreLease/10) }, "all leases expire")
+	add(func() { sm.term++; sm.openSessions() }, "leader changes")
 	return out
 }
 
-func (wd *world) take(list *[]func(), ix int) {
+func (sm *simulation) runDeferred(list *[]func(), ix int) {
 	do := (*list)[ix]
 	*list = append(append([]func(){}, (*list)[:ix]...), (*list)[ix+1:]...)
 	do()
 }
 
-func (wd *world) finish(mw *modelWorker, key weir.RunKey) {
+func (sm *simulation) finishRun(mw *modelWorker, key weir.RunKey) {
 	if mw.runs[key] {
-		mw.end(key, store.EndDone)
+		mw.endRun(key, store.EndDone)
 	}
 }
 
-// send carries out what a session has queued.
-func (wd *world) send(ss *Session, ft fate) {
+// sendOrders sends the orders that a session has queued.
+func (sm *simulation) sendOrders(ss *Session, ft orderOutcome) {
 	for len(ss.orders) > 0 {
-		wd.next = ft
+		sm.nextOutcome = ft
 		(<-ss.orders)(context.Background())
 	}
 }
 
-func (wd *world) place(ix, run int, ft fate) {
+func (sm *simulation) place(ix, run int, ft orderOutcome) {
 	key := weir.RunKey{Task: exploredTask, Run: run}
-	if wd.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: wd.workers[ix].id, Incarnation: 1}}) {
-		wd.sessions[ix].Start(weir.RunOrder{RunKey: key})
-		wd.send(wd.sessions[ix], ft)
+	if sm.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: sm.workers[ix].id, Incarnation: 1}}) {
+		sm.sessions[ix].Start(weir.RunOrder{RunKey: key})
+		sm.sendOrders(sm.sessions[ix], ft)
 	}
 }
 
-func (wd *world) renew(ix int, ft fate) {
-	wd.next = ft
-	wd.sessions[ix].renewOnce(context.Background())
+func (sm *simulation) renew(ix int, ft orderOutcome) {
+	sm.nextOutcome = ft
+	sm.sessions[ix].renewOnce(context.Background())
 }
 
-// renewLate asks for a report whose answer arrives after other steps.
-func (wd *world) renewLate(ix int) {
-	ss, sentAt := wd.sessions[ix], wd.clk.Now()
+// renewLate requests a report whose response arrives after other actions.
+func (sm *simulation) renewLate(ix int) {
+	ss, sentAt := sm.sessions[ix], sm.clk.Now()
 	ss.mu.Lock()
-	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.recorded}
+	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.committedEnd}
 	ss.mu.Unlock()
-	rep := wd.workers[ix].renew(wd, order)
-	wd.late = append(wd.late, func() { ss.takeReport(sentAt, rep) })
+	rep := sm.workers[ix].renew(sm, order)
+	sm.lateResponses = append(sm.lateResponses, func() { ss.applyReport(sentAt, rep) })
 }
 
-// reconcile does what the owner does with one worker.
-func (wd *world) reconcile(ix int, ft fate, logWorks bool) {
-	ss, now := wd.sessions[ix], wd.clk.Now()
-	id := wd.workers[ix].id
+// reconcile does what the scheduler does for one worker.
+func (sm *simulation) reconcile(ix int, ft orderOutcome, committed bool) {
+	ss, now := sm.sessions[ix], sm.clk.Now()
+	id := sm.workers[ix].id
 	if ss.LeaseExpired(now) {
-		wd.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Incarnation: 1}})
-		// It announces itself again, and gets a session of its own.
-		wd.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
-		wd.reopen(ix)
+		sm.apply(store.Change{Leave: &store.WorkerLeave{ID: id, Incarnation: 1}})
+		// The worker announces itself again and gets a new session.
+		sm.apply(store.Change{Join: &store.Worker{ID: id, Incarnation: 1, Address: string(id)}})
+		sm.reopenSession(ix)
 		return
 	}
 	var placed []PlacedRun
-	wd.st.Read(func(rd store.Reader) {
+	sm.st.Read(func(rd store.Reader) {
 		for key := range rd.Runs(id) {
 			js := rd.Job(key.Task.Job)
 			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Terminal() && !js.Task(key.Task).Done})
@@ -144,92 +144,93 @@
 	})
 	out := ss.Reconcile(now, placed)
 	if len(out.Ends) > 0 {
-		if logWorks {
+		if committed {
 			for en := range out.Ends {
-				wd.apply(store.Change{End: &out.Ends[en]})
+				sm.apply(store.Change{End: &out.Ends[en]})
 			}
 			ss.EndsCommitted(out.Number)
 		} else {
 			ss.EndsNotCommitted()
 		}
 	}
-	wd.send(ss, ft)
+	sm.sendOrders(ss, ft)
 }
 
-// reopen gives a worker whose lease has lapsed a new session.
-func (wd *world) reopen(ix int) {
-	kept := wd.sessions
-	wd.lead()
+// reopenSession opens a new session with a worker whose lease has expired.
+func (sm *simulation) reopenSession(ix int) {
+	kept := sm.sessions
+	sm.openSessions()
 	for at := range kept {
 		if at != ix {
-			wd.sessions[at] = kept[at]
+			sm.sessions[at] = kept[at]
 		}
 	}
 }
 
-// explorePath carries out a sequence and returns how many steps are possible
-// next.
+// explorePath runs a sequence of actions and returns how many actions are
+// possible next.
 func explorePath(t *testing.T, prefix, path []int) int {
-	wd := newWorld(t)
+	sm := newSimulation(t)
 	for _, choice := range append(append([]int{}, prefix...), path...) {
-		options := wd.steps()
+		options := sm.actions()
 		if choice >= len(options) {
 			return 0
 		}
-		wd.trace = append(wd.trace, options[choice].name)
-		options[choice].do()
-		wd.clk.Advance(exploreStep)
+		sm.trace = append(sm.trace, options[choice].name)
+		options[choice].run()
+		sm.clk.Advance(actionDuration)
 	}
-	return len(wd.steps())
+	return len(sm.actions())
 }
 
-// named turns names of steps into choices.
-func named(t *testing.T, names ...string) []int {
+// actionIndexes converts the names of actions to their indexes.
+func actionIndexes(t *testing.T, names ...string) []int {
 	var path []int
-	wd := newWorld(t)
+	sm := newSimulation(t)
 	for _, name := range names {
 		found := -1
-		for ix, st := range wd.steps() {
+		for ix, st := range sm.actions() {
 			if st.name == name {
 				found = ix
-				st.do()
+				st.run()
 				break
 			}
 		}
-		require.GreaterOrEqual(t, found, 0, "no step %q", name)
+		require.GreaterOrEqual(t, found, 0, "no action %q", name)
 		path = append(path, found)
-		wd.clk.Advance(exploreStep)
+		sm.clk.Advance(actionDuration)
 	}
 	return path
 }
 
-// setting reads a number from the environment.
-func setting(t *testing.T, name string, usual int) int {
+// envInt reads a number from the environment.
+func envInt(t *testing.T, name string, def int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return usual
+		return def
 	}
 	num, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return num
 }
 
-// TestEverySequenceOfSteps explores from some states that matter.
-func TestEverySequenceOfSteps(t *testing.T) {
-	begin := []string{"renew w0, fate 0", "renew w1, fate 0"}
+// TestAllShortActionSequences tries all short sequences from a set of states. A
+// task must not run twice at a time, and no acknowledged end may be lost.
+func TestAllShortActionSequences(t *testing.T) {
+	begin := []string{"renew w0, outcome 0", "renew w1, outcome 0"}
 	states := map[string][]string{
-		"workers are known":         begin,
-		"a run is confirmed":        append(begin[:2:2], "start at w0, fate 0"),
-		"a run is listed":           append(begin[:2:2], "start at w0, fate 0", "renew w0, fate 0"),
-		"nobody answered the start": append(begin[:2:2], "start at w0, fate 1"),
-		"the start is on its way":   append(begin[:2:2], "start at w0, fate 2"),
-		"a run has ended":           append(begin[:2:2], "start at w0, fate 0", "run ends at w0"),
-		"another leads, a run was":  append(begin[:2:2], "start at w0, fate 0", "another leads"),
-		"another leads, on its way": append(begin[:2:2], "start at w0, fate 2", "another leads", "renew w0, fate 0", "renew w1, fate 0"),
+		"workers known":                 begin,
+		"run confirmed":                 append(begin[:2:2], "start at w0, outcome 0"),
+		"run listed":                    append(begin[:2:2], "start at w0, outcome 0", "renew w0, outcome 0"),
+		"start not answered":            append(begin[:2:2], "start at w0, outcome 1"),
+		"start delayed":                 append(begin[:2:2], "start at w0, outcome 2"),
+		"run ended":                     append(begin[:2:2], "start at w0, outcome 0", "run ends at w0"),
+		"leader changes during a run":   append(begin[:2:2], "start at w0, outcome 0", "leader changes"),
+		"leader changes, start delayed": append(begin[:2:2], "start at w0, outcome 2", "leader changes", "renew w0, outcome 0", "renew w1, outcome 0"),
 	}
 	for name, state := range states {
 		t.Run(name, func(t *testing.T) {
-			prefix, depth := named(t, state...), setting(t, "WEIR_EXPLORE_DEPTH", exploreDepth)
+			prefix, depth := actionIndexes(t, state...), envInt(t, "WEIR_EXPLORE_DEPTH", exploreDepth)
 			count := 0
 			var explore func(path []int)
 			explore = func(path []int) {
@@ -248,40 +249,40 @@
 	}
 }
 
-// TestLongSequencesOfSteps draws long sequences; after each the task is done
-// once all is well.
-func TestLongSequencesOfSteps(t *testing.T) {
-	for seed := range int64(setting(t, "WEIR_EXPLORE_WALKS", walks)) {
+// TestRandomActionSequences runs long random sequences. After each of them the
+// task must complete once no more faults occur.
+func TestRandomActionSequences(t *testing.T) {
+	for seed := range int64(envInt(t, "WEIR_EXPLORE_WALKS", walks)) {
 		rng := rand.New(rand.NewSource(seed))
-		wd := newWorld(t)
+		sm := newSimulation(t)
 		for range walkLength {
-			options := wd.steps()
+			options := sm.actions()
 			choice := options[rng.Intn(len(options))]
-			wd.trace = append(wd.trace, choice.name)
-			choice.do()
-			wd.clk.Advance(exploreStep)
+			sm.trace = append(sm.trace, choice.name)
+			choice.run()
+			sm.clk.Advance(actionDuration)
 		}
-		wd.settle(seed)
+		sm.runToCompletion(seed)
 	}
 }
 
-// settle lets all go well until the task is done.
-func (wd *world) settle(seed int64) {
+// runToCompletion continues without faults until the task is done.
+func (sm *simulation) runToCompletion(seed int64) {
 	for range 60 {
-		for _, do := range wd.delayed {
+		for _, do := range sm.delayedOrders {
 			do()
 		}
-		wd.delayed = nil
-		for ix, mw := range wd.workers {
-			wd.renew(ix, fateAnswered)
-			wd.reconcile(ix, fateAnswered, true)
+		sm.delayedOrders = nil
+		for ix, mw := range sm.workers {
+			sm.renew(ix, outcomeAnswered)
+			sm.reconcile(ix, outcomeAnswered, true)
 			for key := range mw.runs {
-				wd.finish(mw, key)
+				sm.finishRun(mw, key)
 			}
 		}
 		var tk *store.Task
 		over := false
-		wd.st.Read(func(rd store.Reader) {
+		sm.st.Read(func(rd store.Reader) {
 			over = rd.Job("a").Phase == store.Done
 			if found := rd.Job("a").Task(exploredTask); found != nil {
 				copied := *found
@@ -291,10 +292,10 @@
 		if over {
 			return
 		}
-		if tk != nil && !tk.Placed() && wd.sessions[0].Usable() {
-			wd.place(0, tk.Run+1, fateAnswered)
+		if tk != nil && !tk.Placed() && sm.sessions[0].Usable() {
+			sm.place(0, tk.Run+1, outcomeAnswered)
 		}
-		wd.clk.Advance(100 * time.Millisecond)
+		sm.clk.Advance(100 * time.Millisecond)
 	}
-	require.Fail(wd.t, "the task is never done", "seed %d: %v", seed, wd.trace)
+	require.Fail(sm.t, "the task does not complete", "seed %d: %v", seed, sm.trace)
 }
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -9,17 +9,17 @@
 	weir "greengageweir"
 )
 
-// Start orders a run. The intent must be committed.
+// Start queues the order to start a run. The placement must be committed before.
 func (ss *Session) Start(order weir.RunOrder) {
 	ss.mu.Lock()
-	ss.runs[order.RunKey] = &run{sentAt: ss.Clock.Now()}
+	ss.runs[order.RunKey] = &runState{sentAt: ss.Clock.Now()}
 	ss.mu.Unlock()
-	if !ss.queue(func(ctx context.Context) { ss.sendStart(ctx, order) }) {
-		ss.dropStart(order.RunKey)
+	if !ss.enqueue(func(ctx context.Context) { ss.sendStart(ctx, order) }) {
+		ss.markNotSent(order.RunKey)
 	}
 }
 
-func (ss *Session) queue(order func(ctx context.Context)) bool {
+func (ss *Session) enqueue(order func(ctx context.Context)) bool {
 	select {
 	case ss.orders <- order:
 		return true
@@ -29,10 +29,10 @@
 	}
 }
 
-func (ss *Session) dropStart(key weir.RunKey) {
+func (ss *Session) markNotSent(key weir.RunKey) {
 	ss.mu.Lock()
 	if rn := ss.runs[key]; rn != nil {
-		rn.dropped = true
+		rn.notSent = true
 	}
 	ss.mu.Unlock()
 	ss.OnChange()
@@ -41,16 +41,16 @@
 func (ss *Session) sendStart(ctx context.Context, order weir.RunOrder) {
 	ss.mu.Lock()
 	rn := ss.runs[order.RunKey]
-	skip := rn == nil || rn.unwanted || ss.otherLife || !ss.failingAt.IsZero()
+	skip := rn == nil || rn.unwanted || ss.otherIncarnation || !ss.unreachableSince.IsZero()
 	sentAt := ss.Clock.Now()
 	if !skip {
 		rn.sentAt = sentAt
 		order.Token = ss.Token
-		order.Until = ss.grant(sentAt)
+		order.Until = ss.grantLease(sentAt)
 	}
 	ss.mu.Unlock()
 	if skip {
-		ss.dropStart(order.RunKey)
+		ss.markNotSent(order.RunKey)
 		return
 	}
 	if !ss.Leadership.Leads() {
@@ -63,11 +63,12 @@
 	metrics.GetOrCreateHistogram("weir_worker_start_seconds").Update(now.Sub(sentAt).Seconds())
 	ss.mu.Lock()
 	if err == nil {
-		rn.answered = now
+		rn.answeredAt = now
 		rn.refusal = ans.Refusal
-		ss.basis(ans.Clock, sentAt)
+		ss.updateClock(ans.Clock, sentAt)
 	} else {
-		// Without an answer the run is stopped before its task may run again.
+		// The worker may still execute the order, so the zero time makes decide
+		// stop the run before its task is placed again.
 		rn.sentAt = time.Time{}
 	}
 	ss.mu.Unlock()
@@ -78,14 +79,14 @@
 	}
 }
 
-// stop sends a stop, and again where it has shown no effect. It runs with the
-// lock held.
-func (ss *Session) stop(now time.Time, key weir.RunKey, rn *run) {
-	if !rn.stopSent.IsZero() && now.Sub(rn.stopSent) < stopAgain {
+// stop queues a stop order, at most one per stopRetryInterval for a run. Call it
+// with the lock held.
+func (ss *Session) stop(now time.Time, key weir.RunKey, rn *runState) {
+	if !rn.stopSentAt.IsZero() && now.Sub(rn.stopSentAt) < stopRetryInterval {
 		return
 	}
-	rn.stopSent = now
-	ss.queue(func(ctx context.Context) {
+	rn.stopSentAt = now
+	ss.enqueue(func(ctx context.Context) {
 		if !ss.Leadership.Leads() {
 			return
 		}
@@ -94,11 +95,11 @@
 		ans, err := ss.Workers.Stop(callCtx, ss.Worker, key, ss.Token)
 		if err == nil && ans.Refusal == weir.RefusedNone {
 			ss.mu.Lock()
-			rn.stopAcked = ss.Clock.Now()
-			_, listed := ss.last.running[key]
+			rn.stopAckedAt = ss.Clock.Now()
+			_, listed := ss.lastReport.running[key]
 			ss.mu.Unlock()
 			if !listed {
-				ss.look(ctx)
+				ss.requestReport(ctx)
 			}
 			return
 		}
@@ -107,22 +108,23 @@
 	})
 }
 
-// Throttle orders the share at which a run works.
+// Throttle queues the order to limit a run to a share of its speed, 0 to 100
+// percent.
 func (ss *Session) Throttle(key weir.RunKey, percent int) {
-	ss.queue(func(ctx context.Context) {
+	ss.enqueue(func(ctx context.Context) {
 		if !ss.Leadership.Leads() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
 		if _, err := ss.Workers.Throttle(callCtx, ss.Worker, key, percent, ss.Token); err != nil {
-			_ = ss.Logger.Log("level", "warn", "msg", "pace not confirmed", "task", key.Task, "run", key.Run,
+			_ = ss.Logger.Log("level", "warn", "msg", "speed limit not confirmed", "task", key.Task, "run", key.Run,
 				"worker", ss.Worker.ID, "percent", percent, "err", err)
 		}
 	})
 }
 
-func (ss *Session) send(ctx context.Context) {
+func (ss *Session) sendOrders(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -9,33 +9,33 @@
 	weir "greengageweir"
 )
 
-// renew sends one renewal, takes its answer and waits until its ends are
-// recorded. It reports whether the next one may follow at once.
+// renew sends one renewal, applies the report and waits until its new ends are
+// committed. It reports whether the next renewal may follow without a delay.
 func (ss *Session) renew(ctx context.Context) bool {
 	answered, fresh := ss.renewOnce(ctx)
 	if fresh {
-		ss.awaitRecorded(ctx)
+		ss.awaitCommit(ctx)
 	}
 	return answered
 }
 
-// renewOnce sends one renewal and takes its answer; fresh says that it listed
-// new ends.
+// renewOnce sends one renewal and applies the report. fresh is set if the report
+// lists new ends.
 func (ss *Session) renewOnce(ctx context.Context) (answered, fresh bool) {
 	if !ss.Leadership.Leads() {
 		return false, false
 	}
 	ss.mu.Lock()
 	sentAt := ss.Clock.Now()
-	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.recorded, Wait: renewWait}
-	first := ss.basisSent.IsZero()
-	if first || !ss.failingAt.IsZero() {
-		// No lease on a clock that is not known, and none to a worker that does
-		// not answer: it may have arrived all the same, and would put off for
-		// ever the time when nothing runs there any more.
+	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.committedEnd, Wait: renewWait}
+	first := ss.clockSentAt.IsZero()
+	if first || !ss.unreachableSince.IsZero() {
+		// Grant no lease while the worker's clock is unknown or the worker is
+		// unreachable. An unanswered renewal may have arrived, and each grant
+		// would postpone the time at which the lease has certainly expired.
 		order.Wait = 0
 	} else {
-		order.Until = ss.grant(sentAt)
+		order.Until = ss.grantLease(sentAt)
 	}
 	ss.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, order.Wait+renewGrace)
@@ -48,76 +48,78 @@
 		ss.renewFailed(err)
 		return false, false
 	}
-	fresh = ss.takeReport(sentAt, rep)
+	fresh = ss.applyReport(sentAt, rep)
 	if fresh || first {
 		ss.OnChange()
 	}
 	return true, fresh
 }
 
-// look asks for a report at once, while a renewal may still wait for an end.
-func (ss *Session) look(ctx context.Context) {
+// requestReport requests a report without waiting for an end, while a renewal
+// may still be held by the worker.
+func (ss *Session) requestReport(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	ss.mu.Lock()
-	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.recorded}
+	order := weir.RenewOrder{Token: ss.Token, Acknowledged: ss.committedEnd}
 	ss.mu.Unlock()
 	sentAt := ss.Clock.Now()
 	rep, err := ss.Workers.Renew(callCtx, ss.Worker, order)
 	if err != nil {
-		_ = ss.Logger.Log("level", "debug", "msg", "look not answered", "worker", ss.Worker.ID, "err", err)
+		_ = ss.Logger.Log("level", "debug", "msg", "report request failed", "worker", ss.Worker.ID, "err", err)
 		return
 	}
-	ss.takeReport(sentAt, rep)
+	ss.applyReport(sentAt, rep)
 	ss.OnChange()
 }
 
 func (ss *Session) renewFailed(err error) {
 	metrics.GetOrCreateCounter("weir_worker_renewals_failed_total").Inc()
 	ss.mu.Lock()
-	first := ss.failingAt.IsZero()
+	first := ss.unreachableSince.IsZero()
 	if first {
-		ss.failingAt = ss.Clock.Now()
+		ss.unreachableSince = ss.Clock.Now()
 	}
 	ss.mu.Unlock()
 	if first {
-		_ = ss.Logger.Log("level", "warn", "msg", "worker does not answer", "worker", ss.Worker.ID,
+		_ = ss.Logger.Log("level", "warn", "msg", "worker unreachable", "worker", ss.Worker.ID,
 			"address", ss.Worker.Address, "err", err)
 	}
 	ss.OnChange()
 }
 
-// takeReport stores a report and reports whether it has new ends.
-func (ss *Session) takeReport(sentAt time.Time, rep weir.WorkerReport) bool {
+// applyReport applies a report that was requested at sentAt. It returns true if
+// the report lists new ends or comes from another incarnation.
+func (ss *Session) applyReport(sentAt time.Time, rep weir.WorkerReport) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	if rep.Born != 0 && rep.Born != ss.Worker.Born {
-		ss.otherLife = true
+		ss.otherIncarnation = true
 		return true
 	}
-	if !ss.failingAt.IsZero() {
-		_ = ss.Logger.Log("level", "info", "msg", "worker answers again", "worker", ss.Worker.ID)
-		ss.failingAt = time.Time{}
+	if !ss.unreachableSince.IsZero() {
+		_ = ss.Logger.Log("level", "info", "msg", "worker reachable again", "worker", ss.Worker.ID)
+		ss.unreachableSince = time.Time{}
 	}
-	ss.basis(rep.Clock, sentAt)
-	fresh := ss.takeEnds(rep.Ends)
-	if sentAt.Before(ss.last.sentAt) {
+	ss.updateClock(rep.Clock, sentAt)
+	fresh := ss.appendNewEnds(rep.Ends)
+	if sentAt.Before(ss.lastReport.sentAt) {
 		return fresh
 	}
-	ss.last = report{sentAt: sentAt, recvAt: ss.Clock.Now(), running: make(map[weir.RunKey]weir.RunningTask, len(rep.Running)), whole: len(rep.Ends) < maxEnds}
+	ss.lastReport = report{sentAt: sentAt, recvAt: ss.Clock.Now(), running: make(map[weir.RunKey]weir.RunningTask, len(rep.Running)), complete: len(rep.Ends) < maxListedEnds}
 	for _, rt := range rep.Running {
-		ss.last.running[rt.RunKey] = rt
+		ss.lastReport.running[rt.RunKey] = rt
 		if rn := ss.runs[rt.RunKey]; rn != nil {
-			rn.listedAt = ss.last.recvAt
+			rn.listedAt = ss.lastReport.recvAt
 		}
 	}
 	return fresh
 }
 
-// takeEnds keeps the ends that are new and reports whether there were any.
-func (ss *Session) takeEnds(ends []weir.RunEnd) bool {
+// appendNewEnds stores the new ends and reports whether there were any.
+func (ss *Session) appendNewEnds(ends []weir.RunEnd) bool {
 	fresh := false
-	newest := ss.recorded
+	newest := ss.committedEnd
 	if len(ss.ends) > 0 {
 		newest = ss.ends[len(ss.ends)-1].Number
 	}
@@ -131,17 +133,17 @@
 	return fresh
 }
 
-func (ss *Session) basis(clock time.Duration, sentAt time.Time) {
-	if clock == 0 || sentAt.Before(ss.basisSent) {
+func (ss *Session) updateClock(clock time.Duration, sentAt time.Time) {
+	if clock == 0 || sentAt.Before(ss.clockSentAt) {
 		return
 	}
-	ss.basisClock, ss.basisSent, ss.basisRecv = clock, sentAt, ss.Clock.Now()
+	ss.workerClock, ss.clockSentAt, ss.clockRecvAt = clock, sentAt, ss.Clock.Now()
 }
 
-// awaitRecorded waits until the ends of the last report are recorded, so that
+// awaitCommit waits up to commitWait until the listed ends are committed, so that
 // the next renewal acknowledges them and does not return them again.
-func (ss *Session) awaitRecorded(ctx context.Context) {
-	timer := time.NewTimer(recordWait)
+func (ss *Session) awaitCommit(ctx context.Context) {
+	timer := time.NewTimer(commitWait)
 	defer timer.Stop()
 	for {
 		ss.mu.Lock()
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -1,19 +1,20 @@
-// Package session is a leader's dealing with one life of a worker: it renews
-// the worker's lease, sends orders, takes the list of ends, and finds out what
-// became of runs whose orders were not answered.
+// Package session manages a leader's session with one incarnation of a worker:
+// it renews the worker's lease, sends orders, collects the ends of runs, and
+// determines the state of runs whose orders were not answered.
 //
-// A run is over for the session only if the worker listed its end, refused
-// its start, or was told to stop it and then no longer listed it. An order
-// without an answer may be carried out seconds later, so such a run is stopped
-// by its number first: the worker then refuses it for good.
+// A run counts as over only if the worker listed its end, refused its start,
+// or does not list it after it confirmed the start or stop or listed the run.
+// An unanswered order may be executed seconds later, so such a run is first
+// stopped by its number, after which the worker refuses to start it.
 //
 // Usage:
 //
-//	ss := &session.Session{Life: life, Token: term, Workers: calls, ...}
+//	ss := &session.Session{Worker: incarnation, Token: term, Workers: client, ...}
 //	go ss.Run(ctx)
 //	ss.Start(order)
-//	ends := ss.Reconcile(now, placed) // to be committed, then
-//	ss.Recorded(number)
+//	out := ss.Reconcile(now, placed)
+//	// Commit out.Ends, then:
+//	ss.EndsCommitted(out.Number)
 package session
 
 import (
@@ -29,61 +30,63 @@
 )
 
 const (
-	// orderTimeout is how long an order waits for its answer: many times a
-	// round trip, well under the shortest objective of a job.
+	// orderTimeout bounds the wait for the response to an order. It is many
+	// round trips long and well below the shortest deadline objective of a job.
 	orderTimeout = 400 * time.Millisecond
-	// renewWait is how long a renewal may wait at the worker for an end; with
-	// it a lease is renewed four times over in its length.
+	// renewWait is how long the worker may hold a renewal until a run ends
+	// (long polling). A lease is renewed four times within its duration.
 	renewWait = time.Second
-	// renewGrace is how much later than renewWait a renewal's answer may come.
+	// renewGrace is added to renewWait as the timeout of a renewal.
 	renewGrace = 700 * time.Millisecond
-	// retryPause separates renewals that fail.
-	retryPause = 150 * time.Millisecond
-	// stopAgain is when a stop that has shown no effect is sent again.
-	stopAgain = 500 * time.Millisecond
-	// recordWait bounds how long the next renewal waits for ends to be
-	// recorded; after it the lease goes first.
-	recordWait = 300 * time.Millisecond
-	// clockSlack is how slow a worker's clock may be (2 %).
-	clockSlack = 0.98
-	// lapseMargin covers rounding and the worker's own reaction.
-	lapseMargin = 100 * time.Millisecond
-	// maxEnds is the length of a full list of ends; behind it there may be
-	// ends that are not listed yet.
-	maxEnds = 500
-	// fullWork is the percent of a lasting task that is at work.
-	fullWork = 100
-	// senders is how many orders to one worker are under way at a time.
-	senders = 3
-	// orderSlots bounds the orders that wait; a worker holds far fewer tasks.
-	orderSlots = 1024
+	// retryDelay is the delay after a failed renewal.
+	retryDelay = 150 * time.Millisecond
+	// stopRetryInterval is the minimum time between two stop orders for a run.
+	stopRetryInterval = 500 * time.Millisecond
+	// commitWait bounds how long the next renewal waits for ends to be
+	// committed. After it, renewing the lease takes precedence.
+	commitWait = 300 * time.Millisecond
+	// minClockRate is the slowest rate of a worker's clock: 2 % slow.
+	minClockRate = 0.98
+	// leaseExpiryMargin covers rounding and the worker's reaction time.
+	leaseExpiryMargin = 100 * time.Millisecond
+	// maxListedEnds is the length of a full list of ends. The worker may have
+	// more ends that do not fit in it.
+	maxListedEnds = 500
+	// fullSpeed is the percentage that a long-running task reports at full speed.
+	fullSpeed = 100
+	// concurrentOrders is the number of orders in flight to one worker.
+	concurrentOrders = 3
+	// orderQueueLength bounds the queued orders. A worker runs far fewer tasks.
+	orderQueueLength = 1024
 )
 
-// run is what the session knows of one run.
-type run struct {
-	// sentAt is when its start was handed over; zero where an earlier leader
-	// or life did.
-	sentAt   time.Time
-	answered time.Time
-	// listedAt is when a report that listed it arrived last.
+// runState is what the session knows about one run.
+type runState struct {
+	// sentAt is when the start order was queued or sent. It is zero if an
+	// earlier leader or session sent it, or if it was not answered.
+	sentAt     time.Time
+	answeredAt time.Time
+	// listedAt is when the last report that lists the run arrived.
 	listedAt time.Time
 	refusal  weir.Refusal
-	// dropped says that its start was never sent.
-	dropped   bool
-	unwanted  bool
-	stopSent  time.Time
-	stopAcked time.Time
+	// notSent is set if the start order was never sent.
+	notSent     bool
+	unwanted    bool
+	stopSentAt  time.Time
+	stopAckedAt time.Time
 }
 
-// report is the last answer to a renewal.
+// report is the worker's response to a renewal.
 type report struct {
 	sentAt  time.Time
 	recvAt  time.Time
 	running map[weir.RunKey]weir.RunningTask
-	whole   bool
+	// complete is set if the list of ends was not truncated.
+	complete bool
 }
 
-// Session deals with one life of a worker. Set the exported fields before Run.
+// Session manages one incarnation of a worker. Set the exported fields before
+// Run.
 type Session struct {
 	Worker     weir.WorkerIncarnation
 	Token      uint64
@@ -92,61 +95,63 @@
 	Leadership weir.Leadership
 	Clock      weir.Clock
 	Logger     log.Logger
-	// PriorLeaseExpiry is when a lease that an earlier leader gave has surely lapsed.
+	// PriorLeaseExpiry is when every lease that an earlier leader granted has
+	// certainly expired.
 	PriorLeaseExpiry time.Time
-	// OnChange tells the owner that there is something to reconcile.
+	// OnChange is called when there is something new to reconcile.
 	OnChange func()
 
-	mu       sync.Mutex
-	runs     map[weir.RunKey]*run
-	ends     []weir.RunEnd // those that are not recorded, oldest first
-	recorded int64
-	// recording says that ends handed out by Reconcile are being committed.
-	// Others wait, so that the acknowledged number passes over none.
-	recording bool
-	wake      chan struct{}
-	orders    chan func(ctx context.Context)
-	last      report
-	// basis pairs the worker's clock with ours.
-	basisClock time.Duration
-	basisSent  time.Time
-	basisRecv  time.Time
-	lapsesBy   time.Time
-	failingAt  time.Time // since when renewals fail; zero while they do not
-	otherLife  bool
+	mu           sync.Mutex
+	runs         map[weir.RunKey]*runState
+	ends         []weir.RunEnd // not committed yet, oldest first
+	committedEnd int64
+	// committing is set while ends returned by Reconcile are being committed.
+	// Reconcile returns no others meanwhile, so that the acknowledged number
+	// never skips an end that is not committed.
+	committing bool
+	wake       chan struct{}
+	orders     chan func(ctx context.Context)
+	lastReport report
+	// workerClock was read between clockSentAt and clockRecvAt, local time.
+	workerClock      time.Duration
+	clockSentAt      time.Time
+	clockRecvAt      time.Time
+	leaseExpiry      time.Time
+	unreachableSince time.Time // start of failing renewals, else zero
+	otherIncarnation bool
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (ss *Session) String() string { return "session with " + string(ss.Worker.ID) }
 
-// Default prepares the session.
+// Default initializes the session.
 func (ss *Session) Default() error {
 	if ss.Logger == nil {
 		ss.Logger = log.NewNopLogger()
 	}
-	ss.runs = map[weir.RunKey]*run{}
+	ss.runs = map[weir.RunKey]*runState{}
 	ss.wake = make(chan struct{}, 1)
-	ss.orders = make(chan func(ctx context.Context), orderSlots)
-	ss.lapsesBy = ss.PriorLeaseExpiry
+	ss.orders = make(chan func(ctx context.Context), orderQueueLength)
+	ss.leaseExpiry = ss.PriorLeaseExpiry
 	return nil
 }
 
-// Run renews and sends until the context ends.
+// Run renews the lease and sends queued orders until the context ends.
 func (ss *Session) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
-	for range senders {
-		wg.Go(func() { ss.send(ctx) })
+	for range concurrentOrders {
+		wg.Go(func() { ss.sendOrders(ctx) })
 	}
 	for ctx.Err() == nil {
 		if !ss.renew(ctx) {
-			pause(ctx, retryPause)
+			sleep(ctx, retryDelay)
 		}
 	}
 	wg.Wait()
 	return nil
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -155,23 +160,24 @@
 	}
 }
 
-// grant returns a lease from now on and notes when it has surely lapsed. It
-// runs with the lock held, before the order is sent.
-func (ss *Session) grant(now time.Time) time.Duration {
-	until := ss.basisClock + now.Sub(ss.basisSent) + ss.Lease
-	lapse := ss.basisRecv.Add(time.Duration(float64(until-ss.basisClock)/clockSlack) + lapseMargin)
-	if lapse.After(ss.lapsesBy) {
-		ss.lapsesBy = lapse
+// grantLease returns the end of a new lease on the worker's clock and records
+// the local time at which it has certainly expired. Call it with the lock held
+// and before the order is sent.
+func (ss *Session) grantLease(now time.Time) time.Duration {
+	until := ss.workerClock + now.Sub(ss.clockSentAt) + ss.Lease
+	expiry := ss.clockRecvAt.Add(time.Duration(float64(until-ss.workerClock)/minClockRate) + leaseExpiryMargin)
+	if expiry.After(ss.leaseExpiry) {
+		ss.leaseExpiry = expiry
 	}
 	return until
 }
 
-// EndsCommitted tells that the ends handed out by Reconcile are committed, those
-// that the worker listed up to a number.
+// EndsCommitted reports that the ends returned by Reconcile are committed. The
+// number is that of the last end listed by the worker among them.
 func (ss *Session) EndsCommitted(number int64) {
 	ss.mu.Lock()
-	ss.recording = false
-	ss.recorded = max(ss.recorded, number)
+	ss.committing = false
+	ss.committedEnd = max(ss.committedEnd, number)
 	for len(ss.ends) > 0 && ss.ends[0].Number <= number {
 		ss.ends = ss.ends[1:]
 	}
@@ -182,75 +188,75 @@
 	}
 }
 
-// EndsNotCommitted tells that ends handed out by Reconcile were not committed; the
-// next call hands them out again.
+// EndsNotCommitted reports that the ends returned by Reconcile were not
+// committed. The next call of Reconcile returns them again.
 func (ss *Session) EndsNotCommitted() {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	ss.recording = false
+	ss.committing = false
 }
 
-// Usable reports whether the worker answers and its clock is known.
+// Usable reports whether the worker responds and its clock is known.
 func (ss *Session) Usable() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return !ss.basisSent.IsZero() && ss.failingAt.IsZero() && !ss.otherLife
+	return !ss.clockSentAt.IsZero() && ss.unreachableSince.IsZero() && !ss.otherIncarnation
 }
 
-// Unreachable reports whether the worker does not answer.
+// Unreachable reports whether renewals fail.
 func (ss *Session) Unreachable() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return !ss.failingAt.IsZero()
+	return !ss.unreachableSince.IsZero()
 }
 
-// LeaseExpired reports whether the worker does not answer and every lease that it
-// was given has surely lapsed, so that nothing runs there any more.
+// LeaseExpired reports whether the worker is unreachable and every lease granted
+// to it has certainly expired, so that nothing runs there any more.
 func (ss *Session) LeaseExpired(now time.Time) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return !ss.failingAt.IsZero() && now.After(ss.lapsesBy)
+	return !ss.unreachableSince.IsZero() && now.After(ss.leaseExpiry)
 }
 
-// Running returns what the worker listed last, and when that arrived.
+// Running returns the running tasks of the last report and its arrival time.
 func (ss *Session) Running() (arrived time.Time, running []weir.RunningTask) {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	running = make([]weir.RunningTask, 0, len(ss.last.running))
-	for _, rt := range ss.last.running {
+	running = make([]weir.RunningTask, 0, len(ss.lastReport.running))
+	for _, rt := range ss.lastReport.running {
 		running = append(running, rt)
 	}
-	return ss.last.recvAt, running
+	return ss.lastReport.recvAt, running
 }
 
-// AtFullSpeed reports whether the worker answers and lists a lasting task at full
-// work.
+// AtFullSpeed reports whether the worker is reachable and its last report lists
+// a long-running task at full speed.
 func (ss *Session) AtFullSpeed(key weir.RunKey) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return ss.failingAt.IsZero() && ss.last.running[key].Percent >= fullWork
+	return ss.unreachableSince.IsZero() && ss.lastReport.running[key].Percent >= fullSpeed
 }
 
-// PlacedRun is one run that the state holds to be at the worker.
+// PlacedRun is a run that is placed at the worker according to the job state.
 type PlacedRun struct {
 	Key weir.RunKey
-	// Wanted is false where the run is to be stopped.
+	// Wanted is false if the run must be stopped.
 	Wanted bool
 }
 
-// Outcome is what Reconcile found to be recorded.
+// Outcome holds the ends to commit after a reconciliation.
 type Outcome struct {
 	Ends []store.RunEnd
-	// Number is the last listed end among them; it goes to Recorded once the
-	// ends are committed.
+	// Number is that of the last end in Ends that the worker listed. Pass it
+	// to EndsCommitted once the ends are committed.
 	Number int64
-	// Refused holds the workers' reasons, for placing elsewhere.
+	// Refused holds the reasons of refused starts, used to place runs elsewhere.
 	Refused map[weir.RunKey]weir.Refusal
 }
 
-// Reconcile compares what the state holds to be at the worker with what the
-// worker said. It returns ends to be committed and sends stops. It returns no
-// more ends until Recorded or NotRecorded has told what became of them.
+// Reconcile compares the runs placed at the worker with the worker's reports.
+// It returns ends to commit and queues stop orders. It returns no further ends
+// until EndsCommitted or EndsNotCommitted is called.
 func (ss *Session) Reconcile(now time.Time, placed []PlacedRun) Outcome {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
@@ -258,7 +264,7 @@
 	ended := make(map[weir.RunKey]bool, len(ss.ends))
 	for _, en := range ss.ends {
 		ended[en.RunKey] = true
-		if ss.recording {
+		if ss.committing {
 			continue
 		}
 		out.Ends = append(out.Ends, store.RunEnd{Task: en.Task, Run: en.Run, Reason: store.EndReason(en.How), Checkpoint: en.Checkpoint})
@@ -271,7 +277,7 @@
 			ss.reconcileRun(now, pl, &out)
 		}
 	}
-	ss.recording = ss.recording || len(out.Ends) > 0
+	ss.committing = ss.committing || len(out.Ends) > 0
 	ss.stopUnknown(now, current)
 	for key := range ss.runs {
 		if !current[key] {
@@ -281,43 +287,43 @@
 	return out
 }
 
-// reconcileRun decides on one run; see decide for the rules.
+// reconcileRun applies the decision on one run; see decide.
 func (ss *Session) reconcileRun(now time.Time, pl PlacedRun, out *Outcome) {
 	rn := ss.runs[pl.Key]
 	if rn == nil {
-		rn = &run{}
+		rn = &runState{}
 		ss.runs[pl.Key] = rn
 	}
 	rn.unwanted = !pl.Wanted
-	_, listed := ss.last.running[pl.Key]
-	vd := decide(now, *rn, ss.last, listed, pl.Wanted)
-	if ss.recording && (vd == verdictRefused || vd == verdictLost) {
+	_, listed := ss.lastReport.running[pl.Key]
+	dec := decide(now, *rn, ss.lastReport, listed, pl.Wanted)
+	if ss.committing && (dec == decisionRefused || dec == decisionLost) {
 		return
 	}
-	switch vd {
-	case verdictRefused:
+	switch dec {
+	case decisionRefused:
 		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndRefused})
 		if out.Refused == nil {
 			out.Refused = map[weir.RunKey]weir.Refusal{}
 		}
 		out.Refused[pl.Key] = rn.refusal
-	case verdictLost:
+	case decisionLost:
 		out.Ends = append(out.Ends, store.RunEnd{Task: pl.Key.Task, Run: pl.Key.Run, Reason: store.EndLost})
-	case verdictStop:
+	case decisionStop:
 		ss.stop(now, pl.Key, rn)
-	case verdictWait:
+	case decisionWait:
 	}
 }
 
-// stopUnknown stops what the worker runs and the state does not know there.
+// stopUnknown stops the runs that the worker lists but that are not placed there.
 func (ss *Session) stopUnknown(now time.Time, current map[weir.RunKey]bool) {
-	for key := range ss.last.running {
+	for key := range ss.lastReport.running {
 		if current[key] {
 			continue
 		}
 		rn := ss.runs[key]
 		if rn == nil {
-			rn = &run{}
+			rn = &runState{}
 		}
 		ss.stop(now, key, rn)
 		ss.runs[key] = rn
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -17,15 +17,15 @@
 
 const testLease = 3 * time.Second
 
-// fakeWorker answers renewals from its own clock until it falls silent.
+// fakeWorker responds to renewals with its own clock until it is unreachable.
 type fakeWorker struct {
 	weir.TaskWorkers
 
-	mu     sync.Mutex
-	clk    *clock.Manual
-	silent bool
-	until  time.Duration
-	// answered is the worker's clock at its last answer.
+	mu          sync.Mutex
+	clk         *clock.Manual
+	unreachable bool
+	until       time.Duration
+	// answered is the worker's clock at its last response.
 	answered time.Duration
 	reports  weir.WorkerReport
 	stops    []weir.RunKey
@@ -37,10 +37,10 @@
 func (fw *fakeWorker) Renew(_ context.Context, _ weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	// An order without an answer may still be carried out.
+	// An order that is not answered may still be executed.
 	fw.until = max(fw.until, order.Until)
-	if fw.silent {
-		return weir.WorkerReport{}, errors.New("silent")
+	if fw.unreachable {
+		return weir.WorkerReport{}, errors.New("unreachable")
 	}
 	rep := fw.reports
 	rep.Clock = fw.clock()
@@ -62,27 +62,30 @@
 	return weir.OrderResponse{Clock: fw.clock()}, nil
 }
 
-type always struct{}
+type alwaysLeader struct{}
 
-func (always) Leads() bool { return true }
+func (alwaysLeader) Leads() bool { return true }
 
 func newSession(t *testing.T) (*Session, *fakeWorker) {
 	clk := clock.NewManual(time.Unix(100, 0))
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
-		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: always{},
+		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: alwaysLeader{},
 		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
 	return ss, fw
 }
 
-func TestSilentWorkerLapsesAndNotBeforeItsLease(t *testing.T) {
+// TestLeaseOfUnreachableWorkerExpires checks that unanswered renewals do not
+// extend the lease for ever, and that the session reports the expiry only after
+// the worker's own, possibly slow, clock has passed the end of the lease.
+func TestLeaseOfUnreachableWorkerExpires(t *testing.T) {
 	ctx := context.Background()
 	ss, fw := newSession(t)
 	require.True(t, ss.renew(ctx))
 	require.True(t, ss.renew(ctx))
-	fw.silent = true
+	fw.unreachable = true
 	for range 100 {
 		fw.clk.Advance(100 * time.Millisecond)
 		ss.renew(ctx)
@@ -90,12 +93,12 @@
 			break
 		}
 	}
-	require.True(t, ss.LeaseExpired(fw.clk.Now()), "renewals that are not answered must not put it off for ever")
-	slow := fw.answered + time.Duration(float64(fw.clock()-fw.answered)*clockSlack)
-	require.Greater(t, slow, fw.until, "also on a clock that is 2 % slow the lease is over")
+	require.True(t, ss.LeaseExpired(fw.clk.Now()), "unanswered renewals must not postpone the expiry for ever")
+	slow := fw.answered + time.Duration(float64(fw.clock()-fw.answered)*minClockRate)
+	require.Greater(t, slow, fw.until, "the lease has expired on a clock that is 2 % slow")
 }
 
-func TestAnsweringWorkerNeverLapses(t *testing.T) {
+func TestLeaseOfReachableWorkerDoesNotExpire(t *testing.T) {
 	ss, fw := newSession(t)
 	for range 100 {
 		ss.renew(context.Background())
@@ -104,47 +107,49 @@
 	}
 }
 
-func TestEndsAreHandedOutUntilTheyAreRecorded(t *testing.T) {
+// TestEndsAreReturnedUntilCommitted guards against losing an end whose commit
+// failed and against returning one that is already committed.
+func TestEndsAreReturnedUntilCommitted(t *testing.T) {
 	ctx := context.Background()
 	ss, fw := newSession(t)
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, How: string(store.EndDone)}}
-	require.True(t, ss.takeReport(fw.clk.Now(), fw.reports))
+	require.True(t, ss.applyReport(fw.clk.Now(), fw.reports))
 	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
-	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
+	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "the commit is pending")
 	ss.EndsNotCommitted()
 	out := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, out.Ends, 1)
 	ss.EndsCommitted(out.Number)
-	require.False(t, ss.takeReport(fw.clk.Now(), fw.reports), "listed again, known already")
+	require.False(t, ss.applyReport(fw.clk.Now(), fw.reports), "the end is listed again but not new")
 	ss.renew(ctx)
 	require.Empty(t, ss.Reconcile(fw.clk.Now(), nil).Ends)
 }
 
-// TestEndsAreRecordedInOrder plays a change of the log that fails while ends
-// that came later wait: recording these must not pass over the first.
-func TestEndsAreRecordedInOrder(t *testing.T) {
+// TestEndsAreCommittedInOrder has a log proposal fail while later ends wait.
+// Committing the later ends must not skip the earlier one.
+func TestEndsAreCommittedInOrder(t *testing.T) {
 	ss, fw := newSession(t)
 	key := func(ix int) weir.RunKey { return weir.RunKey{Task: weir.TaskRef{Job: "a", Index: ix}, Run: 1} }
 	end := func(ix int) weir.RunEnd {
 		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), How: string(store.EndDone)}
 	}
 	placed := []PlacedRun{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
-	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
+	ss.applyReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
 	first := ss.Reconcile(fw.clk.Now(), placed)
 	require.Len(t, first.Ends, 1)
-	ss.takeReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1), end(2)}})
+	ss.applyReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1), end(2)}})
 	second := ss.Reconcile(fw.clk.Now(), placed)
 	ss.EndsNotCommitted()
 	if len(second.Ends) > 0 {
 		ss.EndsCommitted(second.Number)
 	}
-	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 2, "both are still to be recorded")
+	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 2, "both are still to be committed")
 }
 
-// cancelledStart returns a session whose only start was cancelled before it was
-// sent.
+// cancelledStart returns a session whose only run was cancelled before its start
+// order was sent.
 func cancelledStart(t *testing.T) (*Session, *fakeWorker, weir.RunKey) {
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
@@ -157,12 +162,13 @@
 	return ss, fw, key
 }
 
-// TestVerdictIsHandedOutOnce keeps a slow log from being flooded.
-func TestVerdictIsHandedOutOnce(t *testing.T) {
+// TestRefusedStartIsReturnedOnce checks that an end is not proposed again while
+// its commit is pending, which would flood a slow log.
+func TestRefusedStartIsReturnedOnce(t *testing.T) {
 	ss, fw, key := cancelledStart(t)
 	placed := []PlacedRun{{Key: key}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
-	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "it is being recorded")
+	require.Empty(t, ss.Reconcile(fw.clk.Now(), placed).Ends, "the commit is pending")
 	ss.EndsNotCommitted()
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
 }
@@ -171,7 +177,7 @@
 	ss, fw := newSession(t)
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	fw.reports.Running = []weir.RunningTask{{RunKey: key}}
-	ss.takeReport(fw.clk.Now(), fw.reports)
+	ss.applyReport(fw.clk.Now(), fw.reports)
 	ss.Reconcile(fw.clk.Now(), nil)
 	(<-ss.orders)(context.Background())
 	require.Equal(t, []weir.RunKey{key}, fw.stops)
@@ -184,26 +190,27 @@
 	require.Equal(t, []store.RunEnd{{Task: key.Task, Run: 1, Reason: store.EndRefused}}, out.Ends)
 }
 
-// TestAnswersThatOvertakeEachOther plays a look that was asked for after a
-// renewal and answered before it, but arrives last.
-func TestAnswersThatOvertakeEachOther(t *testing.T) {
+// TestReportsOutOfOrder requests a report after a renewal. The worker responds to
+// it first, before the start, but the response arrives last. It must not count
+// as proof that the run is over.
+func TestReportsOutOfOrder(t *testing.T) {
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
 	ss.Start(weir.RunOrder{RunKey: key})
 	renewalSent := fw.clk.Now()
 	fw.clk.Advance(100 * time.Millisecond)
-	lookSent := fw.clk.Now()
+	requestSent := fw.clk.Now()
 	fw.clk.Advance(10 * time.Millisecond)
 	(<-ss.orders)(context.Background())
 	fw.clk.Advance(10 * time.Millisecond)
-	ss.takeReport(renewalSent, weir.WorkerReport{Running: []weir.RunningTask{{RunKey: key}}})
-	ss.takeReport(lookSent, weir.WorkerReport{})
+	ss.applyReport(renewalSent, weir.WorkerReport{Running: []weir.RunningTask{{RunKey: key}}})
+	ss.applyReport(requestSent, weir.WorkerReport{})
 	out := ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
-	require.Empty(t, out.Ends, "the run is there")
-	require.Empty(t, ss.orders, "and is not stopped")
+	require.Empty(t, out.Ends, "the run is active")
+	require.Empty(t, ss.orders, "no stop is queued")
 	fw.clk.Advance(10 * time.Millisecond)
-	ss.takeReport(fw.clk.Now(), weir.WorkerReport{})
+	ss.applyReport(fw.clk.Now(), weir.WorkerReport{})
 	out = ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key, Wanted: true}})
-	require.Len(t, out.Ends, 1, "a report asked for later shows that it is over")
+	require.Len(t, out.Ends, 1, "a report requested later shows that the run is over")
 }
