--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -1,5 +1,6 @@
-// Package command holds the commands of the replicated log and the answers to
-// them. Each command carries its time, so that applying it reads no clock.
+// Package command defines the commands of the replicated log and their results.
+// Each command carries its time, so that replicas apply it without reading a
+// clock.
 //
 // Usage:
 //
@@ -16,10 +17,10 @@
 	weir "greengageweir"
 )
 
-// Command is one entry of the log; exactly one pointer is set.
+// Command is one entry of the log. Exactly one of the pointers is set.
 type Command struct {
-	// RequestID makes an operator's request idempotent; it may be empty for
-	// what the leader proposes by itself.
+	// RequestID makes an operator's request idempotent. It may be empty for
+	// commands that the leader proposes itself.
 	RequestID string    `json:"requestId,omitempty"`
 	Operator  string    `json:"operator,omitempty"`
 	At        time.Time `json:"at"`
@@ -41,17 +42,18 @@
 	Barrier           *Barrier           `json:"barrier,omitempty"`
 }
 
-// Encode returns the command as it is stored in the log.
+// Encode returns the command in the encoding of the log.
 func (cm Command) Encode() ([]byte, error) { return json.Marshal(cm) }
 
-// Decode reads a command from the log.
+// Decode decodes a command from the log.
 func Decode(data []byte) (Command, error) {
 	var cm Command
 	err := json.Unmarshal(data, &cm)
 	return cm, err
 }
 
-// ConfigApply replaces configuration number Expected by the next number.
+// ConfigApply changes the configuration if the number in force is Expected. The
+// new configuration gets the next number.
 type ConfigApply struct {
 	Expected uint64      `json:"expected"`
 	Delta    model.Delta `json:"delta"`
@@ -59,29 +61,30 @@
 	Note     string      `json:"note,omitempty"`
 }
 
-// Move starts to move an instance to another pool. It drains first.
+// Move starts to move an instance to another pool. The instance is drained first.
 type Move struct {
 	Instance weir.InstanceID `json:"instance"`
 	To       weir.PoolName   `json:"to"`
-	// Lent marks a move that the planner made and will take back.
+	// Lent marks a move that differs from the configuration on purpose. The
+	// leader does not move the instance back to its configured pool.
 	Lent bool `json:"lent,omitempty"`
 }
 
-// Abandon takes back a drain that has not completed: a move that lost its
-// point, or a permit that is no longer wanted.
+// Abandon cancels a drain that has not completed: that of a move that is no
+// longer useful, or of a permit that is no longer wanted.
 type Abandon struct {
 	Instance weir.InstanceID `json:"instance"`
 	Reason   string          `json:"reason"`
 }
 
-// DrainConfirmation says that the owner of an instance placed its last request on it
-// and that nothing is in flight there.
+// DrainConfirmation confirms that the entry instance that owns an instance sends
+// it no more requests and has none in flight there.
 type DrainConfirmation struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Entry       string          `json:"entry"`
 	Incarnation uint64          `json:"incarnation"`
 	Epoch       uint64          `json:"epoch"`
-	// View is the view index that the instance itself has been told of.
+	// View is the index of the last view that the instance has received.
 	View uint64 `json:"view"`
 }
 
@@ -90,11 +93,11 @@
 	Name  string          `json:"name"`
 	Pools []weir.PoolName `json:"pools,omitempty"`
 	Zones []weir.Zone     `json:"zones,omitempty"`
-	// MaxParallel bounds the instances under maintenance at one time.
+	// MaxParallel bounds the instances under maintenance at the same time.
 	MaxParallel int `json:"maxParallel"`
 }
 
-// WaveAction is what an operator asks of a wave.
+// WaveAction is an operator's action on a wave.
 type WaveAction string
 
 // The actions on a wave.
@@ -110,61 +113,62 @@
 	Action WaveAction `json:"action"`
 }
 
-// PermitGrant lets a wave disrupt one instance; it is refused where the
+// PermitGrant permits a wave to disrupt one instance. It is refused if the
 // availability budget does not allow it.
 type PermitGrant struct {
 	Wave     string          `json:"wave"`
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// RebootDone says that the platform has carried out the reboot.
+// RebootDone reports that the platform has carried out a reboot.
 type RebootDone struct {
 	Instance  weir.InstanceID `json:"instance"`
 	Operation string          `json:"operation"`
 }
 
-// PermitRelease returns an instance that has proven itself back to its pool.
+// PermitRelease ends the maintenance of an instance that is up again, and returns
+// it to its pool.
 type PermitRelease struct {
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// Stuck marks an instance that did not come back in time.
+// Stuck marks an instance that was not up again in time after its reboot.
 type Stuck struct {
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// Retire starts to drain an instance that the configuration no longer holds.
+// Retire starts to drain an instance that is no longer in the configuration.
 type Retire struct {
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// Status is what is known of one instance.
+// Status is the reported status of one instance.
 type Status struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Incarnation uint64          `json:"incarnation"`
-	// Epoch counts the leases that the instance has taken; the report of an
-	// earlier owner is ignored.
+	// Epoch counts the leases that the instance has taken. Reports of earlier
+	// owners are ignored.
 	Epoch uint64 `json:"epoch"`
 	Up    bool   `json:"up"`
 	Entry string `json:"entry"`
 }
 
-// StatusBatch reports changes of instances.
+// StatusBatch updates the status of instances.
 type StatusBatch struct {
 	Items []Status `json:"items"`
 }
 
-// UsageTotal is the work of one service and team in one report.
+// UsageTotal is the usage of one service by one team in one report.
 type UsageTotal struct {
 	Service weir.ServiceName `json:"service"`
 	Team    weir.TeamName    `json:"team,omitempty"`
-	// Done and Failed count tasks that really ran, BusyMillis their time.
+	// Done and Failed count tasks that ran. BusyMillis is their total time.
 	Done       uint64 `json:"done"`
 	Failed     uint64 `json:"failed"`
 	BusyMillis uint64 `json:"busyMillis"`
 }
 
-// UsageReport is one numbered report of one incarnation of an instance.
+// UsageReport is one numbered usage report of one incarnation of an instance.
 type UsageReport struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Incarnation uint64          `json:"incarnation"`
@@ -172,22 +176,23 @@
 	Totals      []UsageTotal    `json:"totals"`
 }
 
-// UsageBatch carries reports to be counted once each.
+// UsageBatch adds usage reports, each of which is counted once.
 type UsageBatch struct {
 	Reports []UsageReport `json:"reports"`
 }
 
-// Process makes an entry instance known, or forgets one that is gone for good.
+// Process registers an entry instance, or removes one that has been shut down for
+// good.
 type Process struct {
 	ID     string    `json:"id"`
 	Zone   weir.Zone `json:"zone"`
 	Forget bool      `json:"forget,omitempty"`
 }
 
-// Barrier changes nothing; its index bounds a linearizable read.
+// Barrier changes nothing. Its index is the lower bound of a linearizable read.
 type Barrier struct{}
 
-// RefusalKind tells why a command was refused.
+// RefusalKind classifies the reasons for refusing a command.
 type RefusalKind string
 
 // The kinds of refusals.
@@ -200,26 +205,28 @@
 	RefusedStale      RefusalKind = "stale"
 )
 
-// Refusal says why a command changed nothing.
+// Refusal explains why a command was refused. A refused command changes nothing.
 type Refusal struct {
 	Kind     RefusalKind     `json:"kind"`
 	Message  string          `json:"message"`
 	Problems []model.Problem `json:"problems,omitempty"`
 }
 
-// Result is the state machine's answer to a command. A request id that is
-// used again gets the first answer.
+// Result is the result of applying a command. A repeated request id returns the
+// result of the first command with this id.
 type Result struct {
 	Index        uint64   `json:"index"`
 	ConfigNumber uint64   `json:"number,omitempty"`
 	Refusal      *Refusal `json:"refusal,omitempty"`
-	// Repeated is set where the answer is that of an earlier equal request.
+	// Repeated is set if this is the result of an earlier command with the same
+	// request id.
 	Repeated bool `json:"repeated,omitempty"`
-	// Acked counts the usage reports that are settled now.
+	// Acked acknowledges the usage reports that are counted now.
 	Acked []UsageAck `json:"acked,omitempty"`
 }
 
-// UsageAck is the last settled report of one incarnation.
+// UsageAck acknowledges the usage reports of one incarnation up to a sequence
+// number.
 type UsageAck struct {
 	Instance    weir.InstanceID `json:"instance"`
 	Incarnation uint64          `json:"incarnation"`
--- a/internal/fleet/fsm/config.go
+++ b/internal/fleet/fsm/config.go
@@ -5,11 +5,12 @@
 	"greengageweir/internal/fleet/view"
 )
 
-// applyConfig accepts a configuration if it follows the present one.
-func (st *state) applyConfig(cmd command.Command, ch *change) command.Result {
+// applyConfig applies a configuration if the expected number is in force and the
+// new configuration is valid.
+func (st *state) applyConfig(cmd command.Command, ch *viewChange) command.Result {
 	ca := cmd.Config
-	if ca.Expected != st.Number {
-		return refuse(command.RefusedConflict, "expected configuration %d, but %d is in force", ca.Expected, st.Number)
+	if ca.Expected != st.ConfigNumber {
+		return refuse(command.RefusedConflict, "expected configuration %d, but %d is in force", ca.Expected, st.ConfigNumber)
 	}
 	cfg := st.Config.With(ca.Delta)
 	if probs := cfg.Check(); len(probs) > 0 {
@@ -23,23 +24,23 @@
 		}
 	}
 	st.Config = cfg
-	st.Number++
+	st.ConfigNumber++
 	st.History = append(st.History, ConfigChange{
-		Number: st.Number, Index: ch.index, Checksum: ca.Checksum, Operator: cmd.Operator,
+		Number: st.ConfigNumber, Index: ch.index, Checksum: ca.Checksum, Operator: cmd.Operator,
 		RequestID: cmd.RequestID, At: cmd.At, Note: ca.Note,
 	})
-	if len(st.History) > keptHistory {
-		st.History = st.History[len(st.History)-keptHistory:]
+	if len(st.History) > maxKeptHistory {
+		st.History = st.History[len(st.History)-maxKeptHistory:]
 	}
 	ch.config = &ca.Delta
-	st.placeInstances(cmd, ch)
-	return command.Result{ConfigNumber: st.Number}
+	st.updateInstances(cmd, ch)
+	return command.Result{ConfigNumber: st.ConfigNumber}
 }
 
-// placeInstances brings members in line with the instances of a new
-// configuration. New ones join their pool at once; a changed home and a
-// removal only set the goal, since the instance must be drained first.
-func (st *state) placeInstances(cmd command.Command, ch *change) {
+// updateInstances updates members from the instances of a new configuration. New
+// instances join their pool at once. A changed pool or a removal is only recorded
+// in ConfiguredPool, since the instance must be drained first.
+func (st *state) updateInstances(cmd command.Command, ch *viewChange) {
 	for id, inst := range cmd.Config.Delta.Instances {
 		mem, ok := st.Members[id]
 		if !ok {
@@ -47,7 +48,7 @@
 		}
 		mem.Zone = inst.Zone
 		mem.ConfiguredPool = inst.Pool
-		st.putMember(mem, ch)
+		st.updateMember(mem, ch)
 	}
 	for _, id := range cmd.Config.Delta.DropInstances {
 		mem, ok := st.Members[id]
@@ -55,17 +56,17 @@
 			continue
 		}
 		mem.ConfiguredPool = ""
-		st.putMember(mem, ch)
+		st.updateMember(mem, ch)
 	}
 }
 
-func (st *state) putMember(mem view.Member, ch *change) {
+func (st *state) updateMember(mem view.Member, ch *viewChange) {
 	st.setMember(mem)
 	ch.members[mem.Instance] = mem
 }
 
-// enter puts a member into a phase.
-func (st *state) enter(mem view.Member, phase view.Phase, cmd command.Command, ch *change) {
+// setPhase moves a member to a phase. Serving clears the data of the drain.
+func (st *state) setPhase(mem view.Member, phase view.Phase, cmd command.Command, ch *viewChange) {
 	mem.Phase = phase
 	mem.SinceIndex = ch.index
 	mem.SinceAt = cmd.At
@@ -73,5 +74,5 @@
 		mem.Purpose, mem.TargetPool, mem.Wave, mem.Operation = "", "", "", ""
 		mem.OldIncarnation, mem.Stuck = 0, false
 	}
-	st.putMember(mem, ch)
+	st.updateMember(mem, ch)
 }
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -10,9 +10,9 @@
 	weir "greengageweir"
 )
 
-// serving returns a member that serves and is up, or the refusal that says
-// why it is not so.
-func (st *state) serving(id weir.InstanceID) (view.Member, *command.Result) {
+// requireServing returns a member that serves and is up, or else a refusal with
+// the reason.
+func (st *state) requireServing(id weir.InstanceID) (view.Member, *command.Result) {
 	mem, ok := st.Members[id]
 	var ans command.Result
 	switch {
@@ -28,25 +28,25 @@
 	return mem, &ans
 }
 
-// startDrain begins a planned disruption of a serving member, if the budget
-// of its pool allows it.
-func (st *state) startDrain(mem view.Member, cmd command.Command, ch *change) command.Result {
+// startDrain starts to drain a serving member if the availability budget of its
+// pool allows it.
+func (st *state) startDrain(mem view.Member, cmd command.Command, ch *viewChange) command.Result {
 	left := st.available[mem.Pool] - 1
 	want := st.Config.Pools[mem.Pool].MinAvailable
 	if left < want {
 		return refuse(command.RefusedBudget, "pool %s would have %d instances, its budget is %d", mem.Pool, left, want)
 	}
-	st.enter(mem, view.Draining, cmd, ch)
+	st.setPhase(mem, view.Draining, cmd, ch)
 	invariant.Check(st.available[mem.Pool] >= want, "budgetHolds",
 		"pool", mem.Pool, "available", st.available[mem.Pool], "budget", want)
 	return command.Result{}
 }
 
-func (st *state) applyMove(cmd command.Command, ch *change) command.Result {
+func (st *state) applyMove(cmd command.Command, ch *viewChange) command.Result {
 	mv := cmd.Move
-	mem, bad := st.serving(mv.Instance)
-	if bad != nil {
-		return *bad
+	mem, refusal := st.requireServing(mv.Instance)
+	if refusal != nil {
+		return *refusal
 	}
 	if _, ok := st.Config.Pools[mv.To]; !ok {
 		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
@@ -60,26 +60,26 @@
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyRetire(cmd command.Command, ch *change) command.Result {
+func (st *state) applyRetire(cmd command.Command, ch *viewChange) command.Result {
 	id := cmd.Retire.Instance
 	mem, ok := st.Members[id]
 	if ok && mem.ConfiguredPool != "" {
 		return refuse(command.RefusedWrongState, "instance %s is in the configuration", id)
 	}
 	if ok && mem.Phase == view.Serving && !st.Statuses[id].Up {
-		st.dropMember(id)
-		ch.gone = append(ch.gone, id)
+		st.removeMember(id)
+		ch.removed = append(ch.removed, id)
 		return command.Result{}
 	}
-	mem, bad := st.serving(id)
-	if bad != nil {
-		return *bad
+	mem, refusal := st.requireServing(id)
+	if refusal != nil {
+		return *refusal
 	}
 	mem.Purpose = view.ForRetirement
 	return st.startDrain(mem, cmd, ch)
 }
 
-func (st *state) applyPermit(cmd command.Command, ch *change) command.Result {
+func (st *state) applyPermit(cmd command.Command, ch *viewChange) command.Result {
 	pg := cmd.Permit
 	wave, ok := st.Waves[pg.Wave]
 	if !ok {
@@ -91,9 +91,9 @@
 	if len(wave.Active) >= wave.MaxParallel {
 		return refuse(command.RefusedWrongState, "wave %s has %d instances in work", pg.Wave, len(wave.Active))
 	}
-	mem, bad := st.serving(pg.Instance)
-	if bad != nil {
-		return *bad
+	mem, refusal := st.requireServing(pg.Instance)
+	if refusal != nil {
+		return *refusal
 	}
 	mem.Purpose = view.ForMaintenance
 	mem.Wave = pg.Wave
@@ -106,9 +106,9 @@
 	return ans
 }
 
-// applyConsent completes a drain. Only the instance's present owner can give
-// it, and only for a view that includes the drain.
-func (st *state) applyConsent(cmd command.Command, ch *change) command.Result {
+// applyDrainConfirmation completes a drain. The confirmation must come from the
+// instance's present owner and be based on a view that includes the drain.
+func (st *state) applyDrainConfirmation(cmd command.Command, ch *viewChange) command.Result {
 	co := cmd.DrainConfirmation
 	mem, ok := st.Members[co.Instance]
 	if !ok || mem.Phase != view.Draining {
@@ -125,19 +125,19 @@
 			mem.Lent = false
 		}
 		st.Moves++
-		st.enter(mem, view.Serving, cmd, ch)
+		st.setPhase(mem, view.Serving, cmd, ch)
 	case view.ForRetirement:
-		st.dropMember(co.Instance)
-		ch.gone = append(ch.gone, co.Instance)
+		st.removeMember(co.Instance)
+		ch.removed = append(ch.removed, co.Instance)
 	default:
 		mem.OldIncarnation = sta.Incarnation
-		st.enter(mem, view.Drained, cmd, ch)
+		st.setPhase(mem, view.Drained, cmd, ch)
 	}
 	return command.Result{}
 }
 
-// applyAbandon takes back a drain that is not complete.
-func (st *state) applyAbandon(cmd command.Command, ch *change) command.Result {
+// applyAbandon cancels a drain that has not completed.
+func (st *state) applyAbandon(cmd command.Command, ch *viewChange) command.Result {
 	id := cmd.Abandon.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Draining {
@@ -152,22 +152,22 @@
 	if mem.Purpose == view.ForMove && mem.Pool == mem.ConfiguredPool {
 		mem.Lent = false
 	}
-	st.enter(mem, view.Serving, cmd, ch)
+	st.setPhase(mem, view.Serving, cmd, ch)
 	return command.Result{}
 }
 
-func (st *state) applyReboot(cmd command.Command, ch *change) command.Result {
+func (st *state) applyReboot(cmd command.Command, ch *viewChange) command.Result {
 	mem, ok := st.Members[cmd.Reboot.Instance]
 	if !ok || mem.Phase != view.Drained || mem.Operation != cmd.Reboot.Operation {
 		return refuse(command.RefusedWrongState, "instance %s does not wait for %s", cmd.Reboot.Instance, cmd.Reboot.Operation)
 	}
-	st.enter(mem, view.Returning, cmd, ch)
+	st.setPhase(mem, view.Returning, cmd, ch)
 	return command.Result{}
 }
 
-// applyRelease returns a rebooted instance, which must be up as a newer
-// incarnation than the one that was rebooted.
-func (st *state) applyRelease(cmd command.Command, ch *change) command.Result {
+// applyRelease puts a rebooted instance back into service. It must be up with a
+// newer incarnation than the one that was rebooted.
+func (st *state) applyRelease(cmd command.Command, ch *viewChange) command.Result {
 	id := cmd.Release.Instance
 	mem, ok := st.Members[id]
 	sta := st.Statuses[id]
@@ -178,26 +178,26 @@
 		delete(wave.Active, id)
 		delete(wave.Stuck, id)
 		wave.Done[id] = true
-		wave.end(cmd.At)
+		wave.finishIfDone(cmd.At)
 	}
-	st.enter(mem, view.Serving, cmd, ch)
+	st.setPhase(mem, view.Serving, cmd, ch)
 	return command.Result{}
 }
 
-// applyStuck lets the wave go on without an instance that did not come back;
-// the instance stays out of its pool's availability.
-func (st *state) applyStuck(cmd command.Command, ch *change) command.Result {
+// applyStuck lets the wave continue without an instance that was not up again in
+// time. The instance does not count as available in its pool.
+func (st *state) applyStuck(cmd command.Command, ch *viewChange) command.Result {
 	id := cmd.Stuck.Instance
 	mem, ok := st.Members[id]
 	if !ok || mem.Phase != view.Returning || mem.Stuck {
 		return refuse(command.RefusedWrongState, "instance %s is not returning", id)
 	}
 	mem.Stuck = true
-	st.putMember(mem, ch)
+	st.updateMember(mem, ch)
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
 		wave.Stuck[id] = true
-		wave.end(cmd.At)
+		wave.finishIfDone(cmd.At)
 	}
 	return command.Result{}
 }
--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -1,12 +1,12 @@
-// Package machine is the replicated state of the fleet: configuration, pool
-// membership, budgets, permits, waves, usage and operator requests. It applies
-// the commands of the log, the same way at each member, and publishes to views
-// what entry instances need to know.
+// Package fsm implements the replicated state machine of the fleet:
+// configuration, pool membership, availability budgets, permits, waves, usage and
+// operator requests. It applies the commands of the log deterministically and
+// publishes the effects that entry instances need for their views.
 //
 // Usage:
 //
-//	mc := machine.New(publish)
-//	answer := mc.Apply(index, data).(command.Answer)
+//	mc := fsm.New(publish, reset)
+//	result := mc.Apply(index, data).(command.Result)
 //	vw := mc.View()
 package fsm
 
@@ -24,19 +24,19 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindDecode says that a snapshot cannot be read.
+// KindDecode means that a snapshot cannot be decoded.
 const KindDecode Kind = "cannot decode"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
 const (
-	keptRequests = 20_000
-	keptHistory  = 256
-	keptWaves    = 256
+	maxKeptRequests = 20_000
+	maxKeptHistory  = 256
+	maxKeptWaves    = 256
 )
 
 // Machine applies commands. It is safe for concurrent use.
@@ -48,9 +48,9 @@
 	st *state
 }
 
-// New returns an empty machine. Publish is called for each effect, in order,
-// and reset when a snapshot replaced the whole state; neither may call back,
-// and both may be nil.
+// New returns an empty machine. It calls publish for each effect, in order, and
+// reset when a snapshot has replaced the whole state. Neither may call the
+// machine, and both may be nil.
 func New(publish func(eff view.Effect), reset func()) *Machine {
 	if publish == nil {
 		publish = func(view.Effect) {}
@@ -61,15 +61,15 @@
 	return &Machine{publish: publish, reset: reset, st: newState()}
 }
 
-// change collects what one command does to views.
-type change struct {
+// viewChange collects the changes that one command makes to views.
+type viewChange struct {
 	index   uint64
 	config  *model.Delta
 	members map[weir.InstanceID]view.Member
-	gone    []weir.InstanceID
+	removed []weir.InstanceID
 }
 
-// Apply implements node.Machine; it returns a command.Answer.
+// Apply implements node.StateMachine. It returns a command.Result.
 func (mc *Machine) Apply(index uint64, data []byte) any {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
@@ -82,19 +82,19 @@
 		first.Repeated = true
 		return first
 	}
-	ch := &change{index: index, members: map[weir.InstanceID]view.Member{}}
+	ch := &viewChange{index: index, members: map[weir.InstanceID]view.Member{}}
 	ans := mc.st.apply(cmd, ch)
 	ans.Index = index
-	mc.st.remember(cmd.RequestID, ans)
-	mc.emit(ch)
+	mc.st.storeResult(cmd.RequestID, ans)
+	mc.publishEffect(ch)
 	return ans
 }
 
-func (mc *Machine) emit(ch *change) {
-	if ch.config == nil && len(ch.members) == 0 && len(ch.gone) == 0 {
+func (mc *Machine) publishEffect(ch *viewChange) {
+	if ch.config == nil && len(ch.members) == 0 && len(ch.removed) == 0 {
 		return
 	}
-	eff := view.Effect{PrevIndex: mc.st.EffectIndex, Index: ch.index, ConfigNumber: mc.st.Number, Config: ch.config, Removed: ch.gone}
+	eff := view.Effect{PrevIndex: mc.st.EffectIndex, Index: ch.index, ConfigNumber: mc.st.ConfigNumber, Config: ch.config, Removed: ch.removed}
 	for _, mem := range ch.members {
 		eff.Members = append(eff.Members, mem)
 	}
@@ -103,14 +103,14 @@
 	mc.publish(eff)
 }
 
-// Skip implements node.Machine.
+// Skip implements node.StateMachine.
 func (mc *Machine) Skip(index uint64) {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
 	mc.st.Index = index
 }
 
-// Snapshot implements node.Machine.
+// Snapshot implements node.StateMachine.
 func (mc *Machine) Snapshot() ([]byte, error) {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
@@ -118,14 +118,14 @@
 	return json.Marshal(mc.st)
 }
 
-// Restore implements node.Machine.
+// Restore implements node.StateMachine.
 func (mc *Machine) Restore(index uint64, data []byte) error {
 	st := newState()
 	if err := json.Unmarshal(data, st); err != nil {
 		return &Error{Op: "restore", Kind: KindDecode, Err: err}
 	}
 	st.Index = index
-	st.index()
+	st.rebuildDerived()
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
 	mc.st = st
@@ -141,23 +141,23 @@
 	for id, mem := range mc.st.Members {
 		members[id] = mem
 	}
-	return view.View{Index: mc.st.EffectIndex, ConfigNumber: mc.st.Number, Config: mc.st.Config, Members: members}
+	return view.View{Index: mc.st.EffectIndex, ConfigNumber: mc.st.ConfigNumber, Config: mc.st.Config, Members: members}
 }
 
-// Read calls fn with a reader of the state while nothing changes.
+// Read calls fn with a reader of the state and the read lock held.
 func (mc *Machine) Read(fn func(rd Reader)) {
 	mc.mu.RLock()
 	defer mc.mu.RUnlock()
 	fn(Reader{st: mc.st})
 }
 
-func (st *state) remember(id string, ans command.Result) {
+func (st *state) storeResult(id string, ans command.Result) {
 	if id == "" {
 		return
 	}
 	st.requests[id] = ans
-	st.Requests = append(st.Requests, request{ID: id, Answer: ans})
-	if len(st.Requests) <= keptRequests {
+	st.Requests = append(st.Requests, storedRequest{ID: id, Result: ans})
+	if len(st.Requests) <= maxKeptRequests {
 		return
 	}
 	delete(st.requests, st.Requests[0].ID)
@@ -168,7 +168,7 @@
 	return command.Result{Refusal: &command.Refusal{Kind: kind, Message: fmt.Sprintf(format, args...)}}
 }
 
-func (st *state) apply(cmd command.Command, ch *change) command.Result {
+func (st *state) apply(cmd command.Command, ch *viewChange) command.Result {
 	switch {
 	case cmd.Config != nil:
 		return st.applyConfig(cmd, ch)
@@ -177,7 +177,7 @@
 	case cmd.Abandon != nil:
 		return st.applyAbandon(cmd, ch)
 	case cmd.DrainConfirmation != nil:
-		return st.applyConsent(cmd, ch)
+		return st.applyDrainConfirmation(cmd, ch)
 	case cmd.Wave != nil:
 		return st.applyWave(cmd)
 	case cmd.WaveSet != nil:
--- a/internal/fleet/fsm/reader.go
+++ b/internal/fleet/fsm/reader.go
@@ -10,11 +10,11 @@
 	weir "greengageweir"
 )
 
-// Reader reads the state inside Machine.Read. The maps that it returns are
-// shared and must neither be changed nor kept.
+// Reader reads the state within Machine.Read. The maps that it returns are
+// shared: they must not be modified, nor used after Read returns.
 type Reader struct{ st *state }
 
-// PoolStatus is the size and availability of a pool.
+// PoolStatus is the size and the availability of a pool, in instances.
 type PoolStatus struct {
 	Name         weir.PoolName `json:"name"`
 	Size         int           `json:"size"`
@@ -30,27 +30,27 @@
 func (rd Reader) EffectIndex() uint64 { return rd.st.EffectIndex }
 
 // ConfigNumber returns the number of the configuration in force.
-func (rd Reader) ConfigNumber() uint64 { return rd.st.Number }
+func (rd Reader) ConfigNumber() uint64 { return rd.st.ConfigNumber }
 
 // Config returns the configuration in force.
 func (rd Reader) Config() model.Config { return rd.st.Config }
 
-// History returns the last changes of the configuration, oldest first.
+// History returns the most recent changes of the configuration, oldest first.
 func (rd Reader) History() []ConfigChange { return append([]ConfigChange{}, rd.st.History...) }
 
 // Members returns all members.
 func (rd Reader) Members() map[weir.InstanceID]view.Member { return rd.st.Members }
 
-// Statuses returns what is known of all instances.
+// Statuses returns the last reported status of all instances.
 func (rd Reader) Statuses() map[weir.InstanceID]command.Status { return rd.st.Statuses }
 
-// CompletedMoves returns how many moves between pools were completed.
+// CompletedMoves returns the number of completed moves between pools.
 func (rd Reader) CompletedMoves() uint64 { return rd.st.Moves }
 
-// Processes returns the zones of the entry instances that are known.
+// Processes returns the zones of all registered entry instances by id.
 func (rd Reader) Processes() map[string]weir.Zone { return rd.st.Processes }
 
-// Usage returns the settled usage.
+// Usage returns the total usage, sorted by service and team.
 func (rd Reader) Usage() []UsageLine { return rd.st.usageLines() }
 
 // Headroom returns how many more instances of a pool may be disrupted.
@@ -58,7 +58,7 @@
 	return rd.st.available[pool] - rd.st.Config.Pools[pool].MinAvailable
 }
 
-// Pools returns the status of all pools by name.
+// Pools returns the status of all pools, sorted by name.
 func (rd Reader) Pools() []PoolStatus {
 	pools := make([]PoolStatus, 0, len(rd.st.Config.Pools))
 	for name, pol := range rd.st.Config.Pools {
--- a/internal/fleet/fsm/report.go
+++ b/internal/fleet/fsm/report.go
@@ -6,7 +6,7 @@
 	"greengageweir/internal/fleet/command"
 )
 
-// applyStatus takes reports about instances. Reports of an earlier
+// applyStatus applies status reports of instances. Reports of an earlier
 // incarnation or lease are ignored.
 func (st *state) applyStatus(cmd command.Command) command.Result {
 	for _, sta := range cmd.Status.Items {
@@ -25,8 +25,8 @@
 	return command.Result{}
 }
 
-// applyProcess keeps the list of entry instances that a change of the
-// configuration must reach.
+// applyProcess maintains the list of entry instances that must receive each
+// configuration change.
 func (st *state) applyProcess(cmd command.Command) command.Result {
 	pr := cmd.Process
 	if _, ok := st.Processes[pr.ID]; pr.Forget && !ok {
@@ -40,21 +40,21 @@
 	return command.Result{}
 }
 
-// applyUsage counts each report once: the reports of an incarnation must come
-// in sequence, and those that were counted before are acknowledged again.
+// applyUsage counts each report once. The reports of an incarnation must arrive
+// in sequence, and reports that were counted before are acknowledged again.
 func (st *state) applyUsage(cmd command.Command) command.Result {
 	ans := command.Result{}
 	for _, rep := range cmd.Usage.Reports {
-		mk := st.Marks[rep.Instance]
+		mk := st.UsageProgress[rep.Instance]
 		if rep.Incarnation > mk.Incarnation {
-			mk = mark{Incarnation: rep.Incarnation, OldInc: mk.Incarnation, OldSeq: mk.Sequence}
+			mk = usageProgress{Incarnation: rep.Incarnation, PrevIncarnation: mk.Incarnation, PrevSequence: mk.Sequence}
 		}
 		var last *uint64
 		switch rep.Incarnation {
 		case mk.Incarnation:
 			last = &mk.Sequence
-		case mk.OldInc:
-			last = &mk.OldSeq
+		case mk.PrevIncarnation:
+			last = &mk.PrevSequence
 		default:
 			continue
 		}
@@ -63,7 +63,7 @@
 			st.addUsage(rep)
 		}
 		ans.Acked = append(ans.Acked, command.UsageAck{Instance: rep.Instance, Incarnation: rep.Incarnation, Sequence: *last})
-		st.Marks[rep.Instance] = mk
+		st.UsageProgress[rep.Instance] = mk
 	}
 	return ans
 }
--- a/internal/fleet/fsm/state.go
+++ b/internal/fleet/fsm/state.go
@@ -34,7 +34,7 @@
 	EndedAt     time.Time                `json:"endedAt"`
 }
 
-// ConfigChange is one line of the configuration's history.
+// ConfigChange is one entry of the configuration history.
 type ConfigChange struct {
 	Number    uint64    `json:"number"`
 	Index     uint64    `json:"index"`
@@ -45,14 +45,14 @@
 	Note      string    `json:"note,omitempty"`
 }
 
-// UsageTotals is settled usage.
+// UsageTotals is the total usage in acknowledged reports.
 type UsageTotals struct {
 	Done       uint64 `json:"done"`
 	Failed     uint64 `json:"failed"`
 	BusyMillis uint64 `json:"busyMillis"`
 }
 
-// usageKey names a line of the usage table.
+// usageKey is the key of a line of the usage table.
 type usageKey struct {
 	service weir.ServiceName
 	team    weir.TeamName
@@ -65,41 +65,41 @@
 	UsageTotals
 }
 
-// mark is the last settled report of an instance. The incarnation before the
-// present one is kept, since its last reports may be late.
-type mark struct {
-	Incarnation uint64 `json:"incarnation"`
-	Sequence    uint64 `json:"sequence"`
-	OldInc      uint64 `json:"oldInc,omitempty"`
-	OldSeq      uint64 `json:"oldSeq,omitempty"`
+// usageProgress holds the last counted report of an instance. It includes the
+// previous incarnation, whose last reports may arrive late.
+type usageProgress struct {
+	Incarnation     uint64 `json:"incarnation"`
+	Sequence        uint64 `json:"sequence"`
+	PrevIncarnation uint64 `json:"oldInc,omitempty"`
+	PrevSequence    uint64 `json:"oldSeq,omitempty"`
 }
 
-// request is a remembered operator request.
-type request struct {
+// storedRequest is the stored result of an operator's request.
+type storedRequest struct {
 	ID     string         `json:"id"`
-	Answer command.Result `json:"answer"`
+	Result command.Result `json:"answer"`
 }
 
-// state is everything that the log decides; it is what snapshots hold.
+// state is the replicated state. Snapshots hold its exported fields.
 type state struct {
-	Index       uint64                             `json:"index"`
-	EffectIndex uint64                             `json:"effectIndex"`
-	Number      uint64                             `json:"number"`
-	Config      model.Config                       `json:"config"`
-	History     []ConfigChange                     `json:"history"`
-	Members     map[weir.InstanceID]view.Member    `json:"members"`
-	Statuses    map[weir.InstanceID]command.Status `json:"statuses"`
-	Waves       map[string]*Wave                   `json:"waves"`
-	Usage       []UsageLine                        `json:"usage"`
-	Marks       map[weir.InstanceID]mark           `json:"marks"`
-	Requests    []request                          `json:"requests"`
-	Moves       uint64                             `json:"moves"`
-	Processes   map[string]weir.Zone               `json:"processes"`
+	Index         uint64                             `json:"index"`
+	EffectIndex   uint64                             `json:"effectIndex"`
+	ConfigNumber  uint64                             `json:"number"`
+	Config        model.Config                       `json:"config"`
+	History       []ConfigChange                     `json:"history"`
+	Members       map[weir.InstanceID]view.Member    `json:"members"`
+	Statuses      map[weir.InstanceID]command.Status `json:"statuses"`
+	Waves         map[string]*Wave                   `json:"waves"`
+	Usage         []UsageLine                        `json:"usage"`
+	UsageProgress map[weir.InstanceID]usageProgress  `json:"marks"`
+	Requests      []storedRequest                    `json:"requests"`
+	Moves         uint64                             `json:"moves"`
+	Processes     map[string]weir.Zone               `json:"processes"`
 
 	usage    map[usageKey]*UsageTotals
 	requests map[string]command.Result
-	// available counts the members of each pool that serve and are up, sizes
-	// all its members.
+	// available counts the members of each pool that serve and are up. sizes
+	// counts all members of each pool.
 	available map[weir.PoolName]int
 	sizes     map[weir.PoolName]int
 }
@@ -107,15 +107,15 @@
 func newState() *state {
 	st := &state{
 		Members: map[weir.InstanceID]view.Member{}, Statuses: map[weir.InstanceID]command.Status{},
-		Waves: map[string]*Wave{}, Marks: map[weir.InstanceID]mark{},
+		Waves: map[string]*Wave{}, UsageProgress: map[weir.InstanceID]usageProgress{},
 		Processes: map[string]weir.Zone{},
 	}
-	st.index()
+	st.rebuildDerived()
 	return st
 }
 
-// index builds what is derived from the stored fields.
-func (st *state) index() {
+// rebuildDerived computes the unexported fields from the exported ones.
+func (st *state) rebuildDerived() {
 	st.usage = make(map[usageKey]*UsageTotals, len(st.Usage))
 	for _, line := range st.Usage {
 		totals := line.UsageTotals
@@ -123,23 +123,23 @@
 	}
 	st.requests = make(map[string]command.Result, len(st.Requests))
 	for _, req := range st.Requests {
-		st.requests[req.ID] = req.Answer
+		st.requests[req.ID] = req.Result
 	}
 	st.available = make(map[weir.PoolName]int)
 	st.sizes = make(map[weir.PoolName]int)
 	for id := range st.Members {
-		st.count(id, 1)
+		st.updateCounts(id, 1)
 	}
 }
 
-// isAvailable reports whether an instance counts for its pool's budget.
+// isAvailable reports whether an instance counts as available in its pool.
 func (st *state) isAvailable(id weir.InstanceID) bool {
 	return st.Members[id].Phase == view.Serving && st.Statuses[id].Up
 }
 
-// count adds an instance to, or takes it from, its pool's counters. Call it
+// updateCounts adds an instance to its pool's counters or removes it. Call it
 // with -1 before and +1 after each change of a member or its status.
-func (st *state) count(id weir.InstanceID, by int) {
+func (st *state) updateCounts(id weir.InstanceID, by int) {
 	mem, ok := st.Members[id]
 	if !ok {
 		return
@@ -151,19 +151,19 @@
 }
 
 func (st *state) setMember(mem view.Member) {
-	st.count(mem.Instance, -1)
+	st.updateCounts(mem.Instance, -1)
 	st.Members[mem.Instance] = mem
-	st.count(mem.Instance, 1)
+	st.updateCounts(mem.Instance, 1)
 }
 
-func (st *state) dropMember(id weir.InstanceID) {
-	st.count(id, -1)
+func (st *state) removeMember(id weir.InstanceID) {
+	st.updateCounts(id, -1)
 	delete(st.Members, id)
 	delete(st.Statuses, id)
 }
 
 func (st *state) setStatus(sta command.Status) {
-	st.count(sta.Instance, -1)
+	st.updateCounts(sta.Instance, -1)
 	st.Statuses[sta.Instance] = sta
-	st.count(sta.Instance, 1)
+	st.updateCounts(sta.Instance, 1)
 }
--- a/internal/fleet/fsm/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -34,8 +34,8 @@
 		Done: map[weir.InstanceID]bool{}, Stuck: map[weir.InstanceID]bool{},
 	}
 	st.Waves[wc.Name] = wave
-	wave.end(cmd.At)
-	st.forgetWaves()
+	wave.finishIfDone(cmd.At)
+	st.pruneWaves()
 	return command.Result{}
 }
 
@@ -49,7 +49,7 @@
 	return picked
 }
 
-// matches reports whether a filter names a value; an empty filter names all.
+// matches reports whether a filter contains a value. An empty filter matches all.
 func matches[T comparable](filter []T, val T) bool {
 	return len(filter) == 0 || slices.Contains(filter, val)
 }
@@ -65,7 +65,7 @@
 		wave.State = WavePaused
 	case ws.Action == command.WaveResume && wave.State == WavePaused:
 		wave.State = WaveRunning
-		wave.end(cmd.At)
+		wave.finishIfDone(cmd.At)
 	case ws.Action == command.WaveAbort && (wave.State == WaveRunning || wave.State == WavePaused):
 		wave.State = WaveAborted
 		wave.EndedAt = cmd.At
@@ -75,17 +75,17 @@
 	return command.Result{}
 }
 
-// end marks a wave without work left as done.
-func (wv *Wave) end(now time.Time) {
+// finishIfDone marks a running wave as done if no instances are left.
+func (wv *Wave) finishIfDone(now time.Time) {
 	if wv.State == WaveRunning && len(wv.Todo) == 0 && len(wv.Active) == 0 {
 		wv.State = WaveDone
 		wv.EndedAt = now
 	}
 }
 
-// forgetWaves drops the oldest ended waves.
-func (st *state) forgetWaves() {
-	if len(st.Waves) <= keptWaves {
+// pruneWaves removes the waves that ended first, beyond maxKeptWaves.
+func (st *state) pruneWaves() {
+	if len(st.Waves) <= maxKeptWaves {
 		return
 	}
 	ended := make([]*Wave, 0, len(st.Waves))
@@ -100,7 +100,7 @@
 		}
 		return ended[a].EndedAt.Before(ended[b].EndedAt)
 	})
-	for ix := 0; ix < len(ended) && len(st.Waves) > keptWaves; ix++ {
+	for ix := 0; ix < len(ended) && len(st.Waves) > maxKeptWaves; ix++ {
 		delete(st.Waves, ended[ix].Name)
 	}
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,6 +1,6 @@
-// Package view is what entry instances know of the fleet: the configuration
-// and the pool and phase of each instance, at one index of the log. A view
-// only ever goes forward.
+// Package view defines the state of the fleet that is sent to entry instances:
+// the configuration and the pool and phase of each instance, at one index of the
+// log. The index of a view never decreases.
 //
 // Usage:
 //
@@ -17,29 +17,29 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindGap says that effects are missing; a snapshot is needed.
+// KindGap means that effects are missing and a snapshot is needed.
 const KindGap Kind = "effects are missing"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Phase is where an instance is between serving and maintenance.
+// Phase is the phase of an instance between serving and maintenance.
 type Phase string
 
 // The phases of an instance.
 const (
 	Serving  Phase = "serving"
 	Draining Phase = "draining"
-	// Drained instances hold no work; the platform may act on them.
+	// Drained instances have no work in progress. The platform may reboot them.
 	Drained Phase = "drained"
-	// Returning instances were rebooted and have not proven themselves yet.
+	// Returning instances were rebooted and are not back in service yet.
 	Returning Phase = "returning"
 )
 
-// Purpose tells what an instance is drained for.
+// Purpose is the reason why an instance is drained.
 type Purpose string
 
 // The purposes of a drain.
@@ -49,32 +49,33 @@
 	ForRetirement  Purpose = "retirement"
 )
 
-// Member is an instance's place in the fleet.
+// Member is the pool membership and the phase of an instance.
 type Member struct {
 	Instance weir.InstanceID `json:"instance"`
 	Zone     weir.Zone       `json:"zone"`
 	Pool     weir.PoolName   `json:"pool"`
-	// ConfiguredPool is the pool that the configuration names; empty once it is gone
-	// from the configuration.
+	// ConfiguredPool is the pool of the instance in the configuration. It is
+	// empty once the instance is removed from the configuration.
 	ConfiguredPool weir.PoolName `json:"home,omitempty"`
 	Lent           bool          `json:"lent,omitempty"`
 	Phase          Phase         `json:"phase"`
 	Purpose        Purpose       `json:"purpose,omitempty"`
 	TargetPool     weir.PoolName `json:"to,omitempty"`
 	Wave           string        `json:"wave,omitempty"`
-	// Operation identifies a platform call for all retries of it.
+	// Operation identifies a platform call across its retries.
 	Operation string `json:"operation,omitempty"`
-	// OldIncarnation is the one that was rebooted.
+	// OldIncarnation is the incarnation that was rebooted.
 	OldIncarnation uint64 `json:"oldIncarnation,omitempty"`
-	// SinceIndex is the index and SinceAt the time of the present phase.
+	// SinceIndex and SinceAt are the log index and the time at which the phase
+	// began.
 	SinceIndex uint64    `json:"since"`
 	SinceAt    time.Time `json:"sinceAt"`
 	Stuck      bool      `json:"stuck,omitempty"`
 }
 
-// Effect is what one index of the log changes in views.
+// Effect is the change that one log entry makes to views.
 type Effect struct {
-	// PrevIndex is the index of the effect before this one.
+	// PrevIndex is the index of the previous effect.
 	PrevIndex    uint64            `json:"after"`
 	Index        uint64            `json:"index"`
 	ConfigNumber uint64            `json:"number,omitempty"`
@@ -83,7 +84,7 @@
 	Removed      []weir.InstanceID `json:"gone,omitempty"`
 }
 
-// View is the state at one index. Treat it as immutable.
+// View is the state at one index. It must not be modified.
 type View struct {
 	Index uint64 `json:"index"`
 	// ConfigNumber is the number of the configuration in force.
@@ -92,8 +93,9 @@
 	Members      map[weir.InstanceID]Member `json:"members"`
 }
 
-// With returns the view changed by an effect. An effect that is not newer
-// changes nothing, so repeated and reordered effects do no harm.
+// With returns the view after an effect. An effect that is not newer than the
+// view is ignored, so repeated and reordered effects are harmless. It returns an
+// error of KindGap if earlier effects are missing.
 func (vw View) With(eff Effect) (View, error) {
 	if eff.Index <= vw.Index {
 		return vw, nil
@@ -123,7 +125,8 @@
 	return vw, nil
 }
 
-// Serves returns the service that an instance may be given work of now.
+// Serves returns the service of which an instance may receive requests now. It
+// returns false if the instance is not serving.
 func (vw View) Serves(id weir.InstanceID) (weir.ServiceName, bool) {
 	mem, ok := vw.Members[id]
 	if !ok || mem.Phase != Serving {
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -10,7 +10,7 @@
 	"greengageweir/internal/duty/errkind"
 )
 
-func TestViewGoesForwardOnly(t *testing.T) {
+func TestOlderEffectsAreIgnored(t *testing.T) {
 	first := Effect{Index: 3, ConfigNumber: 1, Config: &model.Delta{Name: "one"}, Members: []Member{{Instance: "n0", Pool: "desk", Phase: Serving}}}
 	second := Effect{PrevIndex: 3, Index: 7, ConfigNumber: 2, Config: &model.Delta{Name: "two"}, Removed: []weir.InstanceID{"n0"}}
 	vw, err := View{}.With(first)
@@ -20,10 +20,10 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), newer.Index)
 	require.Empty(t, newer.Members)
-	require.Len(t, vw.Members, 1, "the earlier view is unchanged")
+	require.Len(t, vw.Members, 1, "the earlier view must not change")
 	for _, old := range []Effect{first, second} {
 		again, err := newer.With(old)
-		require.NoError(t, err, "a late effect does no harm")
+		require.NoError(t, err, "an older effect is ignored")
 		require.Equal(t, newer, again)
 	}
 	_, err = newer.With(Effect{PrevIndex: 8, Index: 9})
