--- a/internal/control/hub/hub.go
+++ b/internal/control/hub/hub.go
@@ -1,11 +1,11 @@
-// Package hub sends effects on views to subscribers: each control process
-// feeds the entry instances that chose it, so that the leader does not feed
-// them all. A subscriber that is too far behind gets a snapshot.
+// Package hub sends view effects to subscribers. Each control process serves the
+// entry instances that subscribed to it, which takes load off the leader. A
+// subscriber that is too far behind receives a snapshot.
 //
 // Usage:
 //
 //	hb := hub.New()
-//	mc := machine.New(hb.Publish, hb.Reset)
+//	mc := fsm.New(hb.Publish, hb.Reset)
 //	hb.View = mc.View
 //	hb.Subscribe(ctx, conn, have)
 package hub
@@ -22,15 +22,15 @@
 )
 
 const (
-	// keptEffects bounds the effects that are kept for subscribers.
-	keptEffects = 4096
-	// maxEffectBatch bounds the effects of one notification.
+	// maxKeptEffects is the number of effects that are kept for subscribers.
+	maxKeptEffects = 4096
+	// maxEffectBatch is the maximum number of effects in one notification.
 	maxEffectBatch = 256
 )
 
-// Hub keeps the last effects and feeds subscribers.
+// Hub keeps the last effects and sends them to subscribers.
 type Hub struct {
-	// View returns the whole view for snapshots.
+	// View returns the complete view for snapshots.
 	View func() view.View
 
 	mu      sync.Mutex
@@ -39,35 +39,35 @@
 }
 
 type subscription struct {
-	conn   *jsonrpc2.Conn
-	sent   uint64
-	wake   chan struct{}
-	cancel context.CancelFunc
+	conn      *jsonrpc2.Conn
+	sentIndex uint64
+	wake      chan struct{}
+	cancel    context.CancelFunc
 }
 
 // New returns an empty hub.
 func New() *Hub { return &Hub{subs: map[*jsonrpc2.Conn]*subscription{}} }
 
-// Publish takes the next effect.
+// Publish adds the next effect and wakes all subscribers.
 func (hb *Hub) Publish(eff view.Effect) {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
 	hb.effects = append(hb.effects, eff)
-	if len(hb.effects) > 2*keptEffects {
-		hb.effects = append([]view.Effect{}, hb.effects[len(hb.effects)-keptEffects:]...)
+	if len(hb.effects) > 2*maxKeptEffects {
+		hb.effects = append([]view.Effect{}, hb.effects[len(hb.effects)-maxKeptEffects:]...)
 	}
-	hb.wakeAll()
+	hb.wakeSubscribers()
 }
 
-// Reset forgets all effects; every subscriber gets a snapshot.
+// Reset drops all effects, so that every subscriber receives a snapshot.
 func (hb *Hub) Reset() {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
 	hb.effects = nil
-	hb.wakeAll()
+	hb.wakeSubscribers()
 }
 
-func (hb *Hub) wakeAll() {
+func (hb *Hub) wakeSubscribers() {
 	for _, sub := range hb.subs {
 		select {
 		case sub.wake <- struct{}{}:
@@ -76,10 +76,11 @@
 	}
 }
 
-// Subscribe feeds a link until it ends, starting behind the index it has.
+// Subscribe sends effects on a connection until it ends, starting after the index
+// that the subscriber already has.
 func (hb *Hub) Subscribe(ctx context.Context, conn *jsonrpc2.Conn, have uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	sub := &subscription{conn: conn, sent: have, wake: make(chan struct{}, 1), cancel: cancel}
+	sub := &subscription{conn: conn, sentIndex: have, wake: make(chan struct{}, 1), cancel: cancel}
 	sub.wake <- struct{}{}
 	hb.mu.Lock()
 	if old, ok := hb.subs[conn]; ok {
@@ -87,10 +88,10 @@
 	}
 	hb.subs[conn] = sub
 	hb.mu.Unlock()
-	go hb.feed(ctx, sub)
+	go hb.sendLoop(ctx, sub)
 }
 
-// Unsubscribe ends the subscription of a link.
+// Unsubscribe ends the subscription of a connection.
 func (hb *Hub) Unsubscribe(conn *jsonrpc2.Conn) {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
@@ -100,14 +101,14 @@
 	}
 }
 
-// Subscribers returns how many links are fed.
+// Subscribers returns the number of subscriptions.
 func (hb *Hub) Subscribers() int {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
 	return len(hb.subs)
 }
 
-func (hb *Hub) feed(ctx context.Context, sub *subscription) {
+func (hb *Hub) sendLoop(ctx context.Context, sub *subscription) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -122,20 +123,20 @@
 	}
 }
 
-// sendNext sends the next effects, or a snapshot, and reports whether there
-// may be more to send.
+// sendNext sends the next effects or a snapshot. It reports whether there may be
+// more to send.
 func (hb *Hub) sendNext(ctx context.Context, sub *subscription) bool {
-	list, gap := hb.behind(sub.sent)
+	list, gap := hb.effectsAfter(sub.sentIndex)
 	if gap {
 		vw := hb.View()
-		if vw.Index <= sub.sent {
+		if vw.Index <= sub.sentIndex {
 			return false
 		}
 		if sub.conn.Notify(ctx, peerapi.ViewSnapshot, vw) != nil {
 			return false
 		}
 		metrics.GetOrCreateCounter("weir_view_snapshots_sent_total").Inc()
-		sub.sent = vw.Index
+		sub.sentIndex = vw.Index
 		return true
 	}
 	if len(list) == 0 {
@@ -144,12 +145,13 @@
 	if sub.conn.Notify(ctx, peerapi.ViewEffects, peerapi.Effects{List: list}) != nil {
 		return false
 	}
-	sub.sent = list[len(list)-1].Index
+	sub.sentIndex = list[len(list)-1].Index
 	return true
 }
 
-// behind returns the effects that follow an index, or that some are missing.
-func (hb *Hub) behind(sent uint64) (list []view.Effect, gap bool) {
+// effectsAfter returns up to maxEffectBatch effects after an index. gap is set if
+// some of them are no longer kept.
+func (hb *Hub) effectsAfter(sent uint64) (list []view.Effect, gap bool) {
 	hb.mu.Lock()
 	defer hb.mu.Unlock()
 	first := len(hb.effects)
--- a/internal/control/hub/hub_test.go
+++ b/internal/control/hub/hub_test.go
@@ -16,24 +16,24 @@
 	"greengageweir/internal/fleet/view"
 )
 
-// listener collects what a subscriber is sent.
-type listener struct {
+// testSubscriber applies the received effects and snapshots to a view.
+type testSubscriber struct {
 	mu        sync.Mutex
 	view      view.View
 	snapshots int
 	gaps      int
 }
 
-func (li *listener) Handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	before := li.view.Index
+func (ts *testSubscriber) Handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	before := ts.view.Index
 	switch req.Method {
 	case peerapi.ViewSnapshot:
 		var vw view.View
-		if decode(req, &vw) && vw.Index > li.view.Index {
-			li.view = vw
-			li.snapshots++
+		if decode(req, &vw) && vw.Index > ts.view.Index {
+			ts.view = vw
+			ts.snapshots++
 		}
 	case peerapi.ViewEffects:
 		var effs peerapi.Effects
@@ -41,39 +41,42 @@
 			return
 		}
 		for _, eff := range effs.List {
-			next, err := li.view.With(eff)
+			next, err := ts.view.With(eff)
 			if err != nil {
-				li.gaps++
+				ts.gaps++
 				return
 			}
-			li.view = next
+			ts.view = next
 		}
 	}
-	if li.view.Index < before {
-		li.gaps++
+	if ts.view.Index < before {
+		ts.gaps++
 	}
 }
 
-func (li *listener) index() uint64 {
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	return li.view.Index
+func (ts *testSubscriber) index() uint64 {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	return ts.view.Index
 }
 
-// subscribe links a listener to a hub.
-func subscribe(t *testing.T, hb *Hub, have uint64) *listener {
+// subscribe connects a test subscriber to a hub.
+func subscribe(t *testing.T, hb *Hub, have uint64) *testSubscriber {
 	near, far := net.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	li := &listener{view: view.View{Index: have}}
+	ts := &testSubscriber{view: view.View{Index: have}}
 	codec := jsonrpc2.VarintObjectCodec{}
-	jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(far, codec), li)
-	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(near, codec), &listener{})
+	jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(far, codec), ts)
+	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(near, codec), &testSubscriber{})
 	hb.Subscribe(ctx, conn, have)
-	return li
+	return ts
 }
 
-func TestSubscribersGetEverything(t *testing.T) {
+// TestSubscribersReceiveAllEffects checks that subscribers reach the last index
+// without a gap, also those that need a snapshot because their effects are no
+// longer kept, and that no view goes back.
+func TestSubscribersReceiveAllEffects(t *testing.T) {
 	var mu sync.Mutex
 	last := uint64(0)
 	hb := New()
@@ -98,18 +101,18 @@
 	}
 	middle := index
 	behind := subscribe(t, hb, 0)
-	for range keptEffects * 3 {
+	for range maxKeptEffects * 3 {
 		index++
 		publish(index)
 	}
 	late := subscribe(t, hb, middle) // its effects are no longer kept
 	ahead := subscribe(t, hb, index+5)
-	for _, li := range []*listener{early, behind, late} {
-		require.Eventually(t, func() bool { return li.index() == index }, 10*time.Second, time.Millisecond)
-		require.Zero(t, li.gaps)
+	for _, ts := range []*testSubscriber{early, behind, late} {
+		require.Eventually(t, func() bool { return ts.index() == index }, 10*time.Second, time.Millisecond)
+		require.Zero(t, ts.gaps)
 	}
 	require.Positive(t, late.snapshots)
-	require.Equal(t, index+5, ahead.index(), "one that is ahead is not sent back")
+	require.Equal(t, index+5, ahead.index(), "a subscriber that is ahead must not go back")
 	hb.Reset()
 	index++
 	publish(index)
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -1,10 +1,10 @@
-// Package operatorapi is the operators' HTTP interface of a control process.
-// Reads are linearizable; with ?stale=true they are answered from what this
-// process has, which works without a leader.
+// Package operatorapi implements the operators' HTTP interface of a control
+// process. Reads are linearizable. With ?stale=true they return the local state of
+// this process, which also works without a leader.
 //
 // Usage:
 //
-//	api := &operatorapi.API{Service: sv}
+//	api := &operatorapi.API{Service: service}
 //	server := &ops.Server{..., Routes: api.Routes}
 package operatorapi
 
@@ -28,29 +28,29 @@
 
 const requestTimeout = 5 * time.Second
 
-// API serves operators.
+// API handles the requests of operators.
 type API struct {
 	Service *rpc.Service
 }
 
-// Routes adds the interface's routes.
+// Routes registers the routes of the interface.
 func (ap *API) Routes(grp *echo.Group) {
-	grp.GET("/v1/config", ap.read(ap.config))
-	grp.POST("/v1/config", ap.apply)
-	grp.GET("/v1/config/history", ap.read(ap.history))
-	grp.GET("/v1/status", ap.read(ap.status))
-	grp.GET("/v1/instances", ap.read(ap.instances))
-	grp.GET("/v1/waves", ap.read(ap.waves))
+	grp.GET("/v1/config", ap.readHandler(ap.config))
+	grp.POST("/v1/config", ap.applyConfig)
+	grp.GET("/v1/config/history", ap.readHandler(ap.history))
+	grp.GET("/v1/status", ap.readHandler(ap.status))
+	grp.GET("/v1/instances", ap.readHandler(ap.instances))
+	grp.GET("/v1/waves", ap.readHandler(ap.waves))
 	grp.POST("/v1/waves", ap.createWave)
 	grp.POST("/v1/waves/:name", ap.setWave)
 	grp.POST("/v1/moves", ap.move)
 	grp.POST("/v1/instances/:instance/abandon", ap.abandon)
-	grp.POST("/v1/processes/:process/forget", ap.forget)
-	grp.GET("/v1/usage", ap.read(ap.usage))
+	grp.POST("/v1/processes/:process/forget", ap.forgetProcess)
+	grp.GET("/v1/usage", ap.readHandler(ap.usage))
 }
 
-// read wraps a handler that returns a value to be read.
-func (ap *API) read(get func(ctx context.Context, ech echo.Context) (any, error)) echo.HandlerFunc {
+// readHandler returns a handler that writes the value returned by get as JSON.
+func (ap *API) readHandler(get func(ctx context.Context, ech echo.Context) (any, error)) echo.HandlerFunc {
 	return func(ech echo.Context) error {
 		ctx, cancel := context.WithTimeout(ech.Request().Context(), requestTimeout)
 		defer cancel()
@@ -71,8 +71,8 @@
 	return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 }
 
-// statusOf maps refusals to HTTP.
-var statusOf = map[command.RefusalKind]int{
+// httpStatus maps refusals to HTTP status codes.
+var httpStatus = map[command.RefusalKind]int{
 	command.RefusedConflict:   http.StatusConflict,
 	command.RefusedInvalid:    http.StatusUnprocessableEntity,
 	command.RefusedNotFound:   http.StatusNotFound,
@@ -81,9 +81,9 @@
 	command.RefusedStale:      http.StatusConflict,
 }
 
-// propose commits an operator's command and answers with the result. An
-// answer of 503 says that it may or may not be committed; sending it again
-// under the same request id is safe.
+// propose commits an operator's command and writes its result. Status 503 means
+// that the command may or may not be committed. Repeating it with the same request
+// id is safe.
 func (ap *API) propose(ech echo.Context, cmd command.Command) error {
 	if cmd.RequestID == "" {
 		return echo.NewHTTPError(http.StatusBadRequest, "requestId is missing")
@@ -97,7 +97,7 @@
 		return unavailable(err)
 	}
 	if ans.Refusal != nil {
-		return ech.JSON(statusOf[ans.Refusal.Kind], ans)
+		return ech.JSON(httpStatus[ans.Refusal.Kind], ans)
 	}
 	return ech.JSON(http.StatusOK, ans)
 }
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// apply turns a whole configuration into the difference from the one that the
-// operator expects. The state machine checks the number again.
-func (ap *API) apply(ech echo.Context) error {
+// applyConfig proposes the difference between the requested configuration and the
+// one in force. The state machine checks that the expected number is in force.
+func (ap *API) applyConfig(ech echo.Context) error {
 	var req operator.ApplyConfigRequest
 	if err := bind(ech, &req); err != nil {
 		return err
@@ -187,7 +187,7 @@
 func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
 		Name: wv.Name, State: wv.State, Todo: len(wv.Todo), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
-		Active: names(wv.Active), Stuck: names(wv.Stuck),
+		Active: sortedIDs(wv.Active), Stuck: sortedIDs(wv.Stuck),
 	}
 	if !wv.EndedAt.IsZero() {
 		ended := wv.EndedAt
@@ -202,7 +202,7 @@
 	return ws
 }
 
-func names(set map[weir.InstanceID]bool) []weir.InstanceID {
+func sortedIDs(set map[weir.InstanceID]bool) []weir.InstanceID {
 	list := make([]weir.InstanceID, 0, len(set))
 	for id := range set {
 		list = append(list, id)
@@ -234,7 +234,7 @@
 	if err := bind(ech, &req); err != nil {
 		return err
 	}
-	// An operator's move is not taken back to the pool of the configuration.
+	// Lent keeps the leader from moving the instance back to its configured pool.
 	return ap.propose(ech, command.Command{
 		RequestID: req.RequestID, Move: &command.Move{Instance: req.Instance, To: req.To, Lent: true},
 	})
@@ -251,7 +251,7 @@
 	})
 }
 
-func (ap *API) forget(ech echo.Context) error {
+func (ap *API) forgetProcess(ech echo.Context) error {
 	var req operator.ForgetProcessRequest
 	if err := bind(ech, &req); err != nil {
 		return err
--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -1,6 +1,6 @@
-// Package reconcile is the leader's duty to carry maintenance on: it proposes
-// the next steps of waves and moves, asks the platform for reboots, and marks
-// instances whose entry instance is silent as not available.
+// Package reconcile runs the leader's maintenance loop: it proposes the next
+// commands of waves and moves, requests reboots from the platform, and marks
+// instances as not up if their entry instance stops reporting.
 //
 // Usage:
 //
@@ -26,13 +26,14 @@
 )
 
 const (
-	tickEvery      = 200 * time.Millisecond
+	tickInterval   = 200 * time.Millisecond
 	proposeTimeout = 2 * time.Second
-	// maxReboots bounds the platform calls in flight.
+	// maxReboots is the maximum number of reboot calls in flight.
 	maxReboots = 64
 )
 
-// Reconciler works while this process leads. Set the exported fields before Run.
+// Reconciler runs the maintenance loop while this process is the leader. Set the
+// exported fields before Run.
 type Reconciler struct {
 	Machine  *fsm.Machine
 	Registry *registry.Registry
@@ -42,38 +43,38 @@
 	IsLeader func() bool
 	Propose  func(ctx context.Context, cmd command.Command) (command.Result, error)
 
-	led     bool
-	upSince map[weir.InstanceID]sighting
+	wasLeader bool
+	upSince   map[weir.InstanceID]upPeriod
 
 	mu        sync.Mutex
 	rebooting map[string]bool
 }
 
-// sighting is since when an incarnation of an instance was seen up.
-type sighting struct {
+// upPeriod is the time since when an incarnation of an instance has been up.
+type upPeriod struct {
 	incarnation uint64
 	since       time.Time
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (rc *Reconciler) String() string { return "reconciler" }
 
-// Default prepares the reconciler's memory.
+// Default initializes the reconciler.
 func (rc *Reconciler) Default() error {
-	rc.upSince = map[weir.InstanceID]sighting{}
+	rc.upSince = map[weir.InstanceID]upPeriod{}
 	rc.rebooting = map[string]bool{}
 	return nil
 }
 
-// Run works until the context ends.
+// Run reconciles every tickInterval until the context ends.
 func (rc *Reconciler) Run(ctx context.Context) error {
-	return run.Every(ctx, tickEvery, func() {
+	return run.Every(ctx, tickInterval, func() {
 		leads := rc.IsLeader()
-		if leads && !rc.led {
+		if leads && !rc.wasLeader {
 			rc.Registry.Reset(rc.Clock.Now())
-			rc.upSince = map[weir.InstanceID]sighting{}
+			rc.upSince = map[weir.InstanceID]upPeriod{}
 		}
-		rc.led = leads
+		rc.wasLeader = leads
 		if leads {
 			rc.tick(ctx, rc.Clock.Now())
 		}
@@ -81,22 +82,22 @@
 }
 
 func (rc *Reconciler) tick(ctx context.Context, now time.Time) {
-	var steps []command.Command
+	var cmds []command.Command
 	var drained []view.Member
-	var silent []command.Status
+	var unreported []command.Status
 	rc.Machine.Read(func(rd fsm.Reader) {
-		silent = rc.silent(rd, now)
-		steps = wave.NextCommands(rd, rc.evidence(rd, now), now)
+		unreported = rc.unreportedInstances(rd, now)
+		cmds = wave.NextCommands(rd, rc.observe(rd, now), now)
 		for _, mem := range rd.Members() {
 			if mem.Phase == view.Drained {
 				drained = append(drained, mem)
 			}
 		}
 	})
-	if len(silent) > 0 {
-		rc.propose(ctx, command.Command{At: now, Status: &command.StatusBatch{Items: silent}})
+	if len(unreported) > 0 {
+		rc.propose(ctx, command.Command{At: now, Status: &command.StatusBatch{Items: unreported}})
 	}
-	for _, cmd := range steps {
+	for _, cmd := range cmds {
 		rc.propose(ctx, cmd)
 	}
 	for _, mem := range drained {
@@ -104,9 +105,9 @@
 	}
 }
 
-// silent returns the instances whose entry instance is not heard: they count
-// as not available until it reports again.
-func (rc *Reconciler) silent(rd fsm.Reader, now time.Time) []command.Status {
+// unreportedInstances returns the statuses of instances whose entry instance does
+// not report, set to not up. They count as not available until it reports again.
+func (rc *Reconciler) unreportedInstances(rd fsm.Reader, now time.Time) []command.Status {
 	var list []command.Status
 	for _, sta := range rd.Statuses() {
 		if sta.Up && !rc.Registry.IsReporting(now, sta.Entry) {
@@ -117,23 +118,23 @@
 	return list
 }
 
-// evidence notes since when returning instances are up.
-func (rc *Reconciler) evidence(rd fsm.Reader, now time.Time) wave.Observations {
-	ev := wave.Observations{UpSince: map[weir.InstanceID]time.Time{}}
+// observe records since when returning instances have been up.
+func (rc *Reconciler) observe(rd fsm.Reader, now time.Time) wave.Observations {
+	obs := wave.Observations{UpSince: map[weir.InstanceID]time.Time{}}
 	for id, mem := range rd.Members() {
 		sta := rd.Statuses()[id]
 		if mem.Phase != view.Returning || !sta.Up {
 			delete(rc.upSince, id)
 			continue
 		}
-		seen, ok := rc.upSince[id]
-		if !ok || seen.incarnation != sta.Incarnation {
-			seen = sighting{incarnation: sta.Incarnation, since: now}
-			rc.upSince[id] = seen
+		period, ok := rc.upSince[id]
+		if !ok || period.incarnation != sta.Incarnation {
+			period = upPeriod{incarnation: sta.Incarnation, since: now}
+			rc.upSince[id] = period
 		}
-		ev.UpSince[id] = seen.since
+		obs.UpSince[id] = period.since
 	}
-	return ev
+	return obs
 }
 
 func (rc *Reconciler) propose(ctx context.Context, cmd command.Command) {
@@ -142,14 +143,15 @@
 	ans, err := rc.Propose(ctx, cmd)
 	switch {
 	case err != nil:
-		_ = rc.Logger.Log("level", "warn", "msg", "step not proposed", "err", err.Error())
+		_ = rc.Logger.Log("level", "warn", "msg", "command not proposed", "err", err.Error())
 	case ans.Refusal != nil:
-		_ = rc.Logger.Log("level", "debug", "msg", "step refused", "kind", string(ans.Refusal.Kind), "reason", ans.Refusal.Message)
+		_ = rc.Logger.Log("level", "debug", "msg", "command refused", "kind", string(ans.Refusal.Kind), "reason", ans.Refusal.Message)
 	}
 }
 
-// reboot asks the platform, once at a time for each operation. The operation
-// id makes a repeated call harmless, also one by a leader that was replaced.
+// reboot requests a reboot from the platform, with one call in flight for each
+// operation. Calls are idempotent by operation id, so repeated calls are harmless,
+// also those of a former leader.
 func (rc *Reconciler) reboot(ctx context.Context, mem view.Member) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -1,11 +1,11 @@
-// Package registry is the leader's memory of which entry instances report,
-// and of their views and load. It is not replicated: a new leader fills it
-// within one report period.
+// Package registry holds the last report of each entry instance at the leader,
+// with its view and load. It is not replicated. A new leader fills it within one
+// report interval.
 //
 // Usage:
 //
-//	rg := registry.New(clk)
-//	wantFull := rg.Heard(now, report)
+//	rg := registry.New()
+//	wantFull := rg.RecordReport(now, report)
 //	for _, pr := range rg.Processes(now, known) { ... }
 package registry
 
@@ -19,72 +19,75 @@
 	weir "greengageweir"
 )
 
-// ReportTimeout is how long an entry instance may be silent.
+// ReportTimeout is the time without a report after which an entry instance no
+// longer counts as reporting.
 const ReportTimeout = 3 * time.Second
 
-type entry struct {
-	report  peerapi.Report
-	heardAt time.Time
-	// full is set once a full report was taken.
-	full bool
+type entryState struct {
+	report       peerapi.Report
+	lastReportAt time.Time
+	// fullReport is set once a full report has arrived.
+	fullReport bool
 }
 
-// Registry is safe for concurrent use.
+// Registry holds the reports of entry instances. It is safe for concurrent use.
 type Registry struct {
-	mu      sync.Mutex
-	entries map[string]*entry
-	since   time.Time
+	mu          sync.Mutex
+	entries     map[string]*entryState
+	leaderSince time.Time
 }
 
 // New returns an empty registry.
-func New() *Registry { return &Registry{entries: map[string]*entry{}} }
+func New() *Registry { return &Registry{entries: map[string]*entryState{}} }
 
-// Reset forgets everything; call it when leadership begins.
+// Reset removes all reports. Call it when this process becomes the leader.
 func (rg *Registry) Reset(now time.Time) {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	rg.entries = map[string]*entry{}
-	rg.since = now
+	rg.entries = map[string]*entryState{}
+	rg.leaderSince = now
 }
 
-// RecordReport takes a report and tells whether a full one is wanted.
+// RecordReport stores a report. It returns true if a full report is needed.
 func (rg *Registry) RecordReport(now time.Time, rep peerapi.Report) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	en, ok := rg.entries[rep.Entry]
-	if !ok || !en.report.Started.Equal(rep.Started) || now.Sub(en.heardAt) > ReportTimeout {
-		en = &entry{}
+	if !ok || !en.report.Started.Equal(rep.Started) || now.Sub(en.lastReportAt) > ReportTimeout {
+		en = &entryState{}
 		rg.entries[rep.Entry] = en
 	}
 	en.report = rep
-	en.heardAt = now
-	en.full = en.full || rep.Full
-	return !en.full
+	en.lastReportAt = now
+	en.fullReport = en.fullReport || rep.Full
+	return !en.fullReport
 }
 
-// IsReporting reports whether an entry instance reports. While a leader is new,
-// all count as heard.
+// IsReporting reports whether an entry instance has sent a report within
+// ReportTimeout. All count as reporting during the first
+// ReportTimeout of a leader.
 func (rg *Registry) IsReporting(now time.Time, id string) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	if now.Sub(rg.since) < ReportTimeout {
+	if now.Sub(rg.leaderSince) < ReportTimeout {
 		return true
 	}
 	en, ok := rg.entries[id]
-	return ok && now.Sub(en.heardAt) <= ReportTimeout
+	return ok && now.Sub(en.lastReportAt) <= ReportTimeout
 }
 
-// Processes returns the state of all known entry instances. While a leader is
-// new, those that have not reported yet count as heard, with no number.
+// Processes returns the state of the known entry instances, sorted by id. During
+// the first ReportTimeout of a leader, those that have not reported yet count as
+// reporting, without a configuration number.
 func (rg *Registry) Processes(now time.Time, known map[string]weir.Zone) []peerapi.EntryProcess {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	list := make([]peerapi.EntryProcess, 0, len(known))
 	for id, zone := range known {
-		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.since) < ReportTimeout}
+		pr := peerapi.EntryProcess{ID: id, Zone: zone, Reporting: now.Sub(rg.leaderSince) < ReportTimeout}
 		if en, ok := rg.entries[id]; ok {
-			pr.View, pr.ConfigNumber, pr.LastReportAt = en.report.View, en.report.ConfigNumber, en.heardAt
-			pr.Reporting = now.Sub(en.heardAt) <= ReportTimeout
+			pr.View, pr.ConfigNumber, pr.LastReportAt = en.report.View, en.report.ConfigNumber, en.lastReportAt
+			pr.Reporting = now.Sub(en.lastReportAt) <= ReportTimeout
 		}
 		list = append(list, pr)
 	}
@@ -92,13 +95,13 @@
 	return list
 }
 
-// Demand returns the summed load of each service.
+// Demand returns the total load of each service at the reporting entry instances.
 func (rg *Registry) Demand(now time.Time) map[weir.ServiceName]peerapi.Demand {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	sums := map[weir.ServiceName]peerapi.Demand{}
 	for _, en := range rg.entries {
-		if now.Sub(en.heardAt) > ReportTimeout {
+		if now.Sub(en.lastReportAt) > ReportTimeout {
 			continue
 		}
 		for _, dm := range en.report.Demand {
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -11,50 +11,51 @@
 	weir "greengageweir"
 )
 
-// Report takes an entry instance's report, here or at the leader.
+// Report handles an entry instance's report. If this process is not the leader,
+// it forwards the report to the leader.
 func (sv *Service) Report(ctx context.Context, rep peerapi.Report) (peerapi.ReportResponse, error) {
 	if !sv.IsLeader() {
 		var ans peerapi.ReportResponse
-		err := sv.atLeader(ctx, peerapi.EntryReport, rep, &ans)
+		err := sv.callLeader(ctx, peerapi.EntryReport, rep, &ans)
 		return ans, err
 	}
 	now := sv.Clock.Now()
 	ans := peerapi.ReportResponse{WantFull: sv.Registry.RecordReport(now, rep)}
-	if err := sv.register(ctx, rep, now); err != nil {
+	if err := sv.registerEntry(ctx, rep, now); err != nil {
 		return ans, err
 	}
-	if items := sv.changed(rep); len(items) > 0 {
-		if _, err := sv.proposeHere(ctx, command.Command{At: now, Status: &command.StatusBatch{Items: items}}); err != nil {
+	if items := sv.changedStatuses(rep); len(items) > 0 {
+		if _, err := sv.proposeLocal(ctx, command.Command{At: now, Status: &command.StatusBatch{Items: items}}); err != nil {
 			return ans, err
 		}
 	}
 	for _, co := range rep.Consents {
-		if _, err := sv.proposeHere(ctx, command.Command{At: now, DrainConfirmation: &co}); err != nil {
+		if _, err := sv.proposeLocal(ctx, command.Command{At: now, DrainConfirmation: &co}); err != nil {
 			return ans, err
 		}
 	}
 	if len(rep.Usage) == 0 {
 		return ans, nil
 	}
-	done, err := sv.proposeHere(ctx, command.Command{At: now, Usage: &command.UsageBatch{Reports: rep.Usage}})
+	done, err := sv.proposeLocal(ctx, command.Command{At: now, Usage: &command.UsageBatch{Reports: rep.Usage}})
 	ans.Acked = done.Acked
 	return ans, err
 }
 
-// register makes an entry instance known on its first report.
-func (sv *Service) register(ctx context.Context, rep peerapi.Report, now time.Time) error {
+// registerEntry registers an entry instance on its first report.
+func (sv *Service) registerEntry(ctx context.Context, rep peerapi.Report, now time.Time) error {
 	known := false
 	sv.Machine.Read(func(rd fsm.Reader) { _, known = rd.Processes()[rep.Entry] })
 	if known {
 		return nil
 	}
-	_, err := sv.proposeHere(ctx, command.Command{At: now, Process: &command.Process{ID: rep.Entry, Zone: rep.Zone}})
+	_, err := sv.proposeLocal(ctx, command.Command{At: now, Process: &command.Process{ID: rep.Entry, Zone: rep.Zone}})
 	return err
 }
 
-// changed returns the statuses that say something new. In a full report the
-// instances that are missing are no longer with that entry instance.
-func (sv *Service) changed(rep peerapi.Report) []command.Status {
+// changedStatuses returns the statuses that differ from the stored ones. Instances
+// of the entry instance that a full report does not list are returned as not up.
+func (sv *Service) changedStatuses(rep peerapi.Report) []command.Status {
 	var items []command.Status
 	named := make(map[weir.InstanceID]bool, len(rep.Statuses))
 	sv.Machine.Read(func(rd fsm.Reader) {
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -1,10 +1,10 @@
-// Package serve answers the calls of other processes at a control process and
-// carries commands to the leader.
+// Package rpc handles the calls of other processes at a control process and
+// forwards commands and reports to the leader.
 //
 // Usage:
 //
-//	sv := &serve.Service{Self: "c1", Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: links, Clock: clk}
-//	server := &peer.Server{Addr: addr, Token: token, Handle: sv.Handle, Gone: hb.Gone}
+//	sv := &rpc.Service{Self: "c1", Node: nd, Machine: mc, Hub: hb, Registry: rg, Links: links, Clock: clk}
+//	server := &peer.Server{Addr: addr, Token: token, Handle: sv.Handle, OnDisconnect: hb.Unsubscribe}
 package rpc
 
 import (
@@ -25,7 +25,7 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
@@ -38,7 +38,7 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Service answers calls. Set the exported fields before use.
+// Service handles calls of other processes. Set the exported fields before use.
 type Service struct {
 	Self     string
 	Node     *node.Node
@@ -77,27 +77,29 @@
 		if err := call.Decode(&cmd); err != nil {
 			return nil, err
 		}
-		return sv.proposeHere(ctx, cmd)
+		return sv.proposeLocal(ctx, cmd)
 	case peerapi.ControlProcesses:
 		return sv.Processes(ctx)
 	}
 	return nil, peer.MethodNotFound(call.Method)
 }
 
-// IsLeader reports whether this process is the leader as far as it knows.
+// IsLeader reports whether this process is the leader to its own knowledge. It may
+// have been replaced already.
 func (sv *Service) IsLeader() bool { return sv.Node.Status().Role == replica.Leader }
 
-// Propose commits a command, here or at the leader.
+// Propose commits a command. If this process is not the leader, it forwards the
+// command to the leader.
 func (sv *Service) Propose(ctx context.Context, cmd command.Command) (command.Result, error) {
 	if sv.IsLeader() {
-		return sv.proposeHere(ctx, cmd)
+		return sv.proposeLocal(ctx, cmd)
 	}
 	var ans command.Result
-	err := sv.atLeader(ctx, peerapi.ControlPropose, cmd, &ans)
+	err := sv.callLeader(ctx, peerapi.ControlPropose, cmd, &ans)
 	return ans, err
 }
 
-func (sv *Service) proposeHere(ctx context.Context, cmd command.Command) (command.Result, error) {
+func (sv *Service) proposeLocal(ctx context.Context, cmd command.Command) (command.Result, error) {
 	data, err := cmd.Encode()
 	if err != nil {
 		return command.Result{}, &Error{Op: "propose", Kind: KindDecode, Err: err}
@@ -113,7 +115,7 @@
 	return ans, nil
 }
 
-func (sv *Service) atLeader(ctx context.Context, method string, params, result any) error {
+func (sv *Service) callLeader(ctx context.Context, method string, params, result any) error {
 	leader := sv.Node.Status().Leader
 	if leader == "" || leader == sv.Self {
 		return &Error{Op: method, Kind: KindNoLeader}
@@ -121,11 +123,12 @@
 	return sv.Links.Call(ctx, leader, method, params, result)
 }
 
-// Processes returns the state of the roll-out as the leader knows it.
+// Processes returns the leader's state of all entry instances, which shows how far
+// a configuration has been rolled out.
 func (sv *Service) Processes(ctx context.Context) ([]peerapi.EntryProcess, error) {
 	var list []peerapi.EntryProcess
 	if !sv.IsLeader() {
-		err := sv.atLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
+		err := sv.callLeader(ctx, peerapi.ControlProcesses, struct{}{}, &list)
 		return list, err
 	}
 	sv.Machine.Read(func(rd fsm.Reader) {
@@ -134,17 +137,17 @@
 	return list, nil
 }
 
-// catchUpEvery is how often a read waits for this process to catch up.
-const catchUpEvery = 2 * time.Millisecond
+// catchUpPollInterval is how often Barrier checks the applied index.
+const catchUpPollInterval = 2 * time.Millisecond
 
-// Barrier returns when this process has applied everything that was committed
-// before the call, so that what is read next is linearizable.
+// Barrier returns once this process has applied everything that was committed
+// before the call, so that subsequent reads are linearizable.
 func (sv *Service) Barrier(ctx context.Context) error {
 	ans, err := sv.Propose(ctx, command.Command{At: sv.Clock.Now(), Barrier: &command.Barrier{}})
 	if err != nil {
 		return err
 	}
-	ticker := time.NewTicker(catchUpEvery)
+	ticker := time.NewTicker(catchUpPollInterval)
 	defer ticker.Stop()
 	for {
 		var index uint64
