--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -1,10 +1,10 @@
-// Package operator is the contract with operators: bodies of the HTTP
-// interface of a control process, and its client.
+// Package operator defines the operators' HTTP interface of a control process: the
+// request and response bodies, and a client.
 //
 // Usage:
 //
 //	cl := &operator.Client{Addrs: addrs, Token: token}
-//	ans, err := cl.Apply(ctx, operator.ApplyRequest{...})
+//	result, err := cl.SendCommand(ctx, "/v1/config", operator.ApplyConfigRequest{...})
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	weir "greengageweir"
 )
 
-// ApplyConfigRequest asks for a configuration to follow number Expected.
+// ApplyConfigRequest replaces the configuration if the number in force is Expected.
 type ApplyConfigRequest struct {
 	RequestID string       `json:"requestId"`
 	Expected  uint64       `json:"expected"`
@@ -53,13 +53,14 @@
 	To        weir.PoolName   `json:"to"`
 }
 
-// AbandonRequest takes a drain back.
+// AbandonRequest cancels the drain of an instance.
 type AbandonRequest struct {
 	RequestID string `json:"requestId"`
 	Reason    string `json:"reason"`
 }
 
-// ForgetProcessRequest removes a process that is gone for good from the roll-out.
+// ForgetProcessRequest removes an entry instance that has been shut down for good,
+// so that configuration roll-outs no longer wait for it.
 type ForgetProcessRequest struct {
 	RequestID string `json:"requestId"`
 }
@@ -75,8 +76,8 @@
 	Demand       []peerapi.Demand       `json:"demand"`
 }
 
-// InForce reports whether a configuration is in force at each process that is
-// heard, and names those that are not heard.
+// InForce reports whether a configuration is in force at each reporting process,
+// and returns the ids of the processes that do not report.
 func (sa StatusResponse) InForce(number uint64) (inForce bool, unheard []string) {
 	inForce = sa.ConfigNumber >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
@@ -101,18 +102,18 @@
 	Stuck     []weir.InstanceID `json:"stuck,omitempty"`
 	CreatedAt time.Time         `json:"createdAt"`
 	EndedAt   *time.Time        `json:"endedAt,omitempty"`
-	// ExpectedEnd is worked out from the pace so far.
+	// ExpectedEnd is extrapolated from the progress so far.
 	ExpectedEnd *time.Time `json:"expectedEnd,omitempty"`
 }
 
-// InstanceStatus is an instance with what is known of it.
+// InstanceStatus is the pool membership and the reported status of an instance.
 type InstanceStatus struct {
 	view.Member
 	Up    bool   `json:"up"`
 	Entry string `json:"entry,omitempty"`
 }
 
-// UsageResponse is the settled usage and whether reports are still under way.
+// UsageResponse is the total usage as of a log index.
 type UsageResponse struct {
 	Index uint64          `json:"index"`
 	Lines []fsm.UsageLine `json:"lines"`
--- a/internal/contract/platform/platform.go
+++ b/internal/contract/platform/platform.go
@@ -1,11 +1,11 @@
-// Package platform is the contract with the platform that owns the machines:
-// POST /v1/instances/<instance>/reboot with a JSON body. Repeating an
+// Package platform implements the client of the platform that owns the machines.
+// It calls POST /v1/instances/<instance>/reboot with a JSON body. A repeated
 // operation id has no further effect.
 //
 // Usage:
 //
 //	cl := &platform.Client{Addrs: map[weir.Zone]string{"*": "127.0.0.1:9100"}}
-//	err := cl.Reboot(ctx, "shyambazar", "shy-01", "wave1/shy-01/77")
+//	err := cl.Reboot(ctx, "zone-a", "instance-01", "wave1/instance-01/77")
 package platform
 
 import (
@@ -21,7 +21,7 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
@@ -33,7 +33,7 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// AnyZone is the key of the address for zones without their own.
+// AnyZone is the key of the address for zones without an address of their own.
 const AnyZone weir.Zone = "*"
 
 const callTimeout = 5 * time.Second
@@ -49,7 +49,8 @@
 	HTTP  http.Client
 }
 
-// Reboot asks for an instance to be rebooted.
+// Reboot requests the reboot of an instance. It returns an error of KindNoAddress
+// or KindFailed.
 func (cl *Client) Reboot(ctx context.Context, zone weir.Zone, inst weir.InstanceID, operation string) error {
 	addr, ok := cl.Addrs[zone]
 	if !ok {
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -5,7 +5,7 @@
 // Usage:
 //
 //	vw, err = vw.With(effect)
-//	mem, ok := vw.Members["shy-01"]
+//	mem, ok := vw.Members["instance-01"]
 package view
 
 import (
