--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -78,18 +78,18 @@
 
 // InForce reports whether a configuration is in force at each reporting process,
 // and returns the ids of the processes that do not report.
-func (sa StatusResponse) InForce(number uint64) (inForce bool, unheard []string) {
+func (sa StatusResponse) InForce(number uint64) (inForce bool, notReporting []string) {
 	inForce = sa.ConfigNumber >= number && len(sa.Processes) > 0
 	for _, pr := range sa.Processes {
 		if !pr.Reporting {
-			unheard = append(unheard, pr.ID)
+			notReporting = append(notReporting, pr.ID)
 			continue
 		}
 		if pr.ConfigNumber < number {
 			inForce = false
 		}
 	}
-	return inForce, unheard
+	return inForce, notReporting
 }
 
 // WaveStatus is a wave with its progress.
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -64,8 +64,8 @@
 }
 
 // IsReporting reports whether an entry instance has sent a report within
-// ReportTimeout. All count as reporting during the first
-// ReportTimeout of a leader.
+// ReportTimeout. During the first ReportTimeout of a leader, all count as
+// reporting.
 func (rg *Registry) IsReporting(now time.Time, id string) bool {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -147,9 +147,9 @@
 	defer timer.Stop()
 	for {
 		ss.mu.Lock()
-		settled := len(ss.ends) == 0
+		committed := len(ss.ends) == 0
 		ss.mu.Unlock()
-		if settled {
+		if committed {
 			return
 		}
 		select {
--- a/internal/task/session/session.go
+++ b/internal/task/session/session.go
@@ -88,10 +88,13 @@
 // Session manages one incarnation of a worker. Set the exported fields before
 // Run.
 type Session struct {
-	Worker     weir.WorkerIncarnation
-	Token      uint64
-	Lease      time.Duration
-	Workers    weir.TaskWorkers
+	Worker weir.WorkerIncarnation
+	// Token is the fencing token of all orders: the leader's term.
+	Token uint64
+	// Lease is the duration of a lease.
+	Lease   time.Duration
+	Workers weir.TaskWorkers
+	// Leadership is checked before orders are sent.
 	Leadership weir.Leadership
 	Clock      weir.Clock
 	Logger     log.Logger
