--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -195,13 +195,13 @@
 	holders := ro.Holders()
 	err := ro.Log.Ask(ctx, func(now time.Time, core *replica.Core) {
 		for _, id := range holders {
-			core.AddSpare(now, id)
+			core.AddNonVoter(now, id)
 		}
 		if now.Sub(changed) < changePause {
 			return
 		}
 		st := core.Status()
-		next, reason := Next(st.ID, core.MembersAt(st.Last).Voters, ro.candidates(core, holders), core.Silence(now), ro.Voters)
+		next, reason := Next(st.ID, core.MembersAt(st.Last).Voters, ro.candidates(core, holders), core.SinceLastContact(now), ro.Voters)
 		if next == nil {
 			return
 		}
@@ -219,7 +219,7 @@
 func (ro *Roster) candidates(core *replica.Core, holders []string) map[string]string {
 	ready := map[string]string{}
 	for _, id := range holders {
-		if disk, ok := core.SpareReady(id); ok {
+		if disk, ok := core.CaughtUpNonVoter(id); ok {
 			ready[id] = disk
 		}
 	}
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -229,7 +229,7 @@
 		if rd.Empty() {
 			break
 		}
-		nd.sendAll(rd.Early)
+		nd.sendAll(rd.Immediate)
 		if err := nd.persist(rd); err != nil {
 			return err
 		}
@@ -348,7 +348,7 @@
 	nd.mu.Lock()
 	changed := st.Role != nd.status.Role || st.Term != nd.status.Term || st.Learner != nd.status.Learner
 	nd.status = st
-	nd.sureUntil = nd.core.LeadsUntil()
+	nd.sureUntil = nd.core.LeaseUntil()
 	nd.mu.Unlock()
 	if changed {
 		_ = nd.Logger.Log("level", "info", "msg", "role", "raftRole", string(st.Role), "term", st.Term,
--- a/internal/state/replica/append.go
+++ b/internal/state/replica/append.go
@@ -8,14 +8,14 @@
 	"greengageweir/internal/duty/invariant"
 )
 
-// snapshotResend is how long a leader waits before it sends a snapshot again.
+// snapshotResend is the minimum time between two snapshots to one follower.
 const snapshotResend = 2 * time.Second
 
-// broadcastNew sends entries that members have not been sent yet.
+// broadcastNew sends the entries that have not been sent to a follower yet.
 func (co *Core) broadcastNew() {
 	for _, id := range co.followers() {
 		pr := co.progress[id]
-		if co.LazyPropagation && !co.isMember(id) {
+		if co.LazyPropagation && !co.isVoter(id) {
 			continue
 		}
 		if pr.next <= co.log.last() && pr.next > co.log.snapIndex && pr.match+1 >= pr.next-min(pr.next-1, maxBatchEntries) {
@@ -24,17 +24,17 @@
 	}
 }
 
-// sendAppend sends the next entries to a member, or a snapshot where the log
-// no longer reaches back that far. A beat is sent also without entries.
-func (co *Core) sendAppend(now time.Time, id string, beat bool) {
+// sendAppend sends the next entries to a follower, or a snapshot if the log no
+// longer holds them. A heartbeat is sent even if there are no entries.
+func (co *Core) sendAppend(now time.Time, id string, heartbeat bool) {
 	pr := co.progress[id]
 	if pr.next <= co.log.snapIndex {
 		co.sendSnapshot(now, id, pr)
 		return
 	}
 	prev := pr.next - 1
-	entries := co.log.from(pr.next, maxBatchEntries, maxBatchBytes)
-	if len(entries) == 0 && !beat {
+	entries := co.log.entriesFrom(pr.next, maxBatchEntries, maxBatchBytes)
+	if len(entries) == 0 && !heartbeat {
 		return
 	}
 	msg := Message{
@@ -42,16 +42,16 @@
 		Index: prev, LogTerm: co.log.term(prev), Commit: co.commit, Entries: entries,
 	}
 	pr.next += uint64(len(entries))
-	co.early = append(co.early, msg)
+	co.immediate = append(co.immediate, msg)
 }
 
 func (co *Core) sendSnapshot(now time.Time, id string, pr *progress) {
-	if now.IsZero() || now.Sub(pr.snapshotSent) < snapshotResend {
+	if now.IsZero() || now.Sub(pr.snapshotSentAt) < snapshotResend {
 		return
 	}
-	pr.snapshotSent = now
+	pr.snapshotSentAt = now
 	snap := co.log.snap
-	co.early = append(co.early, Message{Kind: MsgSnapshot, From: co.ID, To: id, Term: co.hard.Term, Snapshot: &snap})
+	co.immediate = append(co.immediate, Message{Kind: MsgSnapshot, From: co.ID, To: id, Term: co.hard.Term, Snapshot: &snap})
 }
 
 func (co *Core) stepFromLeader(now time.Time, msg Message) {
@@ -61,7 +61,7 @@
 	}
 	invariant.Check(co.role != Leader || msg.Term > co.hard.Term, "oneLeaderPerTerm", "term", msg.Term, "other", msg.From)
 	co.becomeFollower(now, msg.Term, msg.From)
-	co.heardLeader = now
+	co.lastLeaderContact = now
 	co.resetElection(now)
 	if msg.Kind == MsgSnapshot {
 		co.stepSnapshot(msg)
@@ -75,28 +75,28 @@
 	switch {
 	case snap.Index <= co.commit:
 	case co.log.term(snap.Index) == snap.Term:
-		// The log reaches past the snapshot, and what is behind it may have
-		// been acknowledged already, so it must be kept.
+		// The log extends past the snapshot, and the later entries may have been
+		// acknowledged already, so they must be kept.
 		co.commit = snap.Index
 	default:
 		co.log = memLog{snapIndex: snap.Index, snapTerm: snap.Term, snap: snap}
-		co.restoreMembers()
+		co.restoreMembership()
 		co.stable = snap.Index
 		co.commit = snap.Index
 		co.applied = snap.Index
-		co.install = &snap
+		co.pendingSnapshot = &snap
 	}
-	co.replyMatch(msg, co.commit, false)
+	co.sendAppendReply(msg, co.commit, false)
 }
 
 func (co *Core) stepAppend(msg Message) {
 	if msg.Index < co.log.snapIndex {
-		co.replyMatch(msg, co.commit, false)
+		co.sendAppendReply(msg, co.commit, false)
 		return
 	}
 	if msg.Index > co.log.last() || co.log.term(msg.Index) != msg.LogTerm {
 		hint := min(msg.Index-1, co.log.last())
-		co.replyMatch(msg, max(hint, co.commit), true)
+		co.sendAppendReply(msg, max(hint, co.commit), true)
 		return
 	}
 	match := msg.Index
@@ -107,9 +107,10 @@
 	if commit := min(msg.Commit, match); commit > co.commit {
 		co.commit = commit
 	}
-	co.replyMatch(msg, match, false)
+	co.sendAppendReply(msg, match, false)
 }
 
+// acceptEntry appends an entry from the leader and drops a conflicting tail.
 func (co *Core) acceptEntry(ent Entry) {
 	if ent.Index <= co.log.last() {
 		if co.log.term(ent.Index) == ent.Term {
@@ -117,13 +118,13 @@
 		}
 		invariant.Check(ent.Index > co.commit, "committedEntryNeverReplaced", "index", ent.Index, "commit", co.commit)
 		co.log.truncate(ent.Index - 1)
-		co.truncateMembers(ent.Index - 1)
+		co.truncateMembership(ent.Index - 1)
 		co.stable = min(co.stable, ent.Index-1)
 	}
 	co.append(ent)
 }
 
-func (co *Core) replyMatch(msg Message, match uint64, reject bool) {
+func (co *Core) sendAppendReply(msg Message, match uint64, reject bool) {
 	co.send(Message{
 		Kind: MsgAppendReply, To: msg.From, Term: co.hard.Term, Index: match,
 		Reject: reject, Learner: co.learner(), Disk: co.hard.Disk,
@@ -142,7 +143,7 @@
 	if !ok || !pr.accepts(msg) {
 		return
 	}
-	pr.heard = now
+	pr.lastContact = now
 	pr.learner = msg.Learner
 	if msg.Reject {
 		pr.next = max(min(pr.next, msg.Index+1), pr.match+1)
@@ -152,14 +153,14 @@
 	pr.match = max(pr.match, msg.Index)
 	pr.next = max(pr.next, pr.match+1)
 	co.advanceCommit(now)
-	if pr.learner && co.isMember(msg.From) && pr.match >= co.commit {
+	if pr.learner && co.isVoter(msg.From) && pr.match >= co.commit {
 		co.readmit(msg)
 	}
 }
 
-// accepts reports whether a reply is of the member's present disk. A reply of
-// a disk that was lost since must not count: what it matched is gone. A new
-// disk shows itself by a learner's reply, and starts from nothing.
+// accepts reports whether a reply is from the follower's current disk. A reply
+// from a disk that was lost since must not count, because its entries are gone.
+// A new disk is recognized by a learner's reply and resets match to 0.
 func (pr *progress) accepts(msg Message) bool {
 	if msg.Disk == pr.disk {
 		return true
@@ -172,7 +173,8 @@
 	return true
 }
 
-// readmit proposes that a caught-up learner votes again, once per disk.
+// readmit proposes an entry that makes a caught-up learner a voter again. At
+// most one such entry per disk is uncommitted at a time.
 func (co *Core) readmit(msg Message) {
 	data, err := json.Marshal(Readmit{Member: msg.From, Disk: msg.Disk})
 	if err != nil || co.log.hasReadmit(data, co.commit) {
@@ -181,16 +183,16 @@
 	_, _, _ = co.propose(EntryReadmit, data)
 }
 
-// advanceCommit applies the commit rule: a majority of voters holds the entry
-// and it is of the leader's own term.
+// advanceCommit commits an entry of the leader's own term once a majority of the
+// voters has stored it.
 func (co *Core) advanceCommit(now time.Time) {
 	matches := make([]uint64, 0, len(co.voters()))
 	matches = append(matches, co.stable)
 	for id, pr := range co.progress {
-		if !co.isMember(id) {
+		if !co.isVoter(id) {
 			continue
 		}
-		if !co.counts(id, pr) {
+		if !co.countsForMajority(id, pr) {
 			matches = append(matches, 0)
 			continue
 		}
@@ -205,7 +207,7 @@
 	if co.LazyPropagation {
 		return
 	}
-	// Followers learn of the commit at once, not with the next heartbeat.
+	// Send followers the commit index now instead of with the next heartbeat.
 	for _, id := range co.followers() {
 		co.sendAppend(now, id, true)
 	}
--- a/internal/state/replica/cluster_test.go
+++ b/internal/state/replica/cluster_test.go
@@ -15,7 +15,7 @@
 	testTick      = 10 * time.Millisecond
 )
 
-// disk is what survives a crash of one member.
+// disk is the state of one member that survives a crash.
 type disk struct {
 	hard    HardState
 	snap    Snapshot
@@ -23,48 +23,49 @@
 	commit  uint64
 }
 
-// peerState is one member of a test cluster.
-type peerState struct {
-	core    *Core
-	disk    disk
-	up      bool
-	applied []string // commands in order of application
-	at      uint64
+// testMember is one member of the simulated cluster.
+type testMember struct {
+	core         *Core
+	disk         disk
+	up           bool
+	applied      []string // commands in order of application
+	appliedIndex uint64
 }
 
-// cluster drives members with time, messages and crashes from one seed and
-// asserts the invariants of the log after each step.
+// cluster is a deterministic simulation: it drives the members with time,
+// messages and crashes from one seed, and checks the log's invariants after each
+// step.
 type cluster struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   time.Time
-	ids   []string
-	peers map[string]*peerState
-	net   []Message
-	cut   map[string]bool // members whose links are cut
-	// chosen is the first command applied at each index, by any member.
-	chosen map[uint64]string
-	// leaders is who led each term.
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Time
+	ids         []string
+	peers       map[string]*testMember
+	net         []Message
+	partitioned map[string]bool // members whose links are cut
+	// appliedAt is the first entry applied at each index, by any member.
+	appliedAt map[uint64]string
+	// leaders is the leader of each term.
 	leaders map[uint64]string
 	wipes   int
-	// quorum replaces a rule under test; zero keeps it.
-	weakLearner bool
-	// initial are the first voters where not all members are; the others
-	// start as learners that know of no members.
+	// wipedMembersVote breaks the rule that a wiped member starts as a learner.
+	wipedMembersVote bool
+	// initial lists the initial voters if not all members vote. The others start
+	// as learners without a list of members.
 	initial []string
 	lazy    bool
 }
 
 func newCluster(t *testing.T, size int, seed int64) *cluster {
 	cl := &cluster{
-		t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), peers: map[string]*peerState{},
-		cut: map[string]bool{}, chosen: map[uint64]string{}, leaders: map[uint64]string{},
+		t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), peers: map[string]*testMember{},
+		partitioned: map[string]bool{}, appliedAt: map[uint64]string{}, leaders: map[uint64]string{},
 	}
 	for ix := range size {
 		cl.ids = append(cl.ids, fmt.Sprintf("c%d", ix+1))
 	}
 	for _, id := range cl.ids {
-		cl.peers[id] = &peerState{disk: disk{hard: HardState{Disk: id + "-0"}}}
+		cl.peers[id] = &testMember{disk: disk{hard: HardState{Disk: id + "-0"}}}
 		cl.start(id)
 	}
 	return cl
@@ -83,22 +84,22 @@
 	entries := append([]Entry{}, pe.disk.entries...)
 	pe.core.Restore(cl.now, pe.disk.hard, pe.disk.snap, entries)
 	pe.core.RestoreCommit(pe.disk.commit)
-	pe.at = pe.disk.snap.Index
+	pe.appliedIndex = pe.disk.snap.Index
 	pe.applied = nil
 	pe.up = true
 }
 
 func (cl *cluster) crash(id string) { cl.peers[id].up = false }
 
-// wipe loses a member's disk; it comes back as a learner.
+// wipe crashes a member and erases its disk. It restarts as a learner.
 func (cl *cluster) wipe(id string) {
 	cl.crash(id)
 	cl.wipes++
-	cl.peers[id].disk = disk{hard: HardState{Learner: !cl.weakLearner, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
+	cl.peers[id].disk = disk{hard: HardState{Learner: !cl.wipedMembersVote, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
 }
 
-// settle does what a member's core asks for. With crash set it stops at a
-// random point between the steps, as a crash would.
+// settle does the work that a member's core returns. With crash set, the member
+// crashes at a random point of it.
 func (cl *cluster) settle(id string, crash bool) {
 	pe := cl.peers[id]
 	for {
@@ -106,7 +107,7 @@
 		if rd.Empty() {
 			break
 		}
-		cl.net = append(cl.net, rd.Early...)
+		cl.net = append(cl.net, rd.Immediate...)
 		if crash && cl.rng.Intn(2) == 0 {
 			cl.crash(id)
 			return
@@ -120,13 +121,13 @@
 			return
 		}
 		if rd.Snapshot != nil {
-			pe.at = rd.Snapshot.Index
+			pe.appliedIndex = rd.Snapshot.Index
 		}
 		pe.core.Synced(cl.now, rd)
 		cl.net = append(cl.net, rd.Messages...)
 		cl.apply(id, rd.Committed)
 	}
-	cl.check(id)
+	cl.checkOneLeaderPerTerm(id)
 }
 
 func (dk *disk) save(rd Ready) {
@@ -147,19 +148,20 @@
 func (cl *cluster) apply(id string, entries []Entry) {
 	pe := cl.peers[id]
 	for _, ent := range entries {
-		require.Equal(cl.t, pe.at+1, ent.Index, "entries are applied in order without gaps")
-		pe.at = ent.Index
+		require.Equal(cl.t, pe.appliedIndex+1, ent.Index, "entries are applied in order without gaps")
+		pe.appliedIndex = ent.Index
 		text := fmt.Sprintf("%s/%d/%s", ent.Kind, ent.Term, ent.Data)
-		first, ok := cl.chosen[ent.Index]
+		first, ok := cl.appliedAt[ent.Index]
 		if !ok {
-			cl.chosen[ent.Index] = text
+			cl.appliedAt[ent.Index] = text
 			continue
 		}
 		require.Equal(cl.t, first, text, "index %d differs at %s", ent.Index, id)
 	}
 }
 
-func (cl *cluster) check(id string) {
+// checkOneLeaderPerTerm fails the test if two members lead the same term.
+func (cl *cluster) checkOneLeaderPerTerm(id string) {
 	pe := cl.peers[id]
 	if pe.core.Role() != Leader {
 		return
@@ -179,14 +181,15 @@
 	cl.settle(id, false)
 }
 
-// deliver hands over the message at a place of the network.
-func (cl *cluster) deliver(at int, keep bool) {
-	msg := cl.net[at]
+// deliver delivers one message of the network. With keep set it stays in the
+// network, so that it is delivered again.
+func (cl *cluster) deliver(pos int, keep bool) {
+	msg := cl.net[pos]
 	if !keep {
-		cl.net = append(cl.net[:at], cl.net[at+1:]...)
+		cl.net = append(cl.net[:pos], cl.net[pos+1:]...)
 	}
 	pe := cl.peers[msg.To]
-	if !pe.up || cl.cut[msg.From] != cl.cut[msg.To] {
+	if !pe.up || cl.partitioned[msg.From] != cl.partitioned[msg.To] {
 		return
 	}
 	pe.core.Step(cl.now, msg)
@@ -195,16 +198,17 @@
 
 func (cl *cluster) leader() string {
 	for _, id := range cl.ids {
-		if pe := cl.peers[id]; pe.up && pe.core.Role() == Leader && !cl.cut[id] {
+		if pe := cl.peers[id]; pe.up && pe.core.Role() == Leader && !cl.partitioned[id] {
 			return id
 		}
 	}
 	return ""
 }
 
-// calm lets time pass without faults until all members agree.
-func (cl *cluster) calm(rounds int) {
-	cl.cut = map[string]bool{}
+// stabilize restarts crashed members, heals partitions and then runs the cluster
+// for some ticks without faults.
+func (cl *cluster) stabilize(rounds int) {
+	cl.partitioned = map[string]bool{}
 	for _, id := range cl.ids {
 		if !cl.peers[id].up {
 			cl.start(id)
@@ -219,13 +223,13 @@
 	}
 }
 
-// maxBurst bounds the messages that one moment may cause.
-const maxBurst = 20_000
+// maxDeliveries bounds the messages of one deliverAll, to detect message loops.
+const maxDeliveries = 20_000
 
-// deliverAll hands over messages until none is left.
+// deliverAll delivers messages until none is left.
 func (cl *cluster) deliverAll() {
 	for count := 0; len(cl.net) > 0; count++ {
-		require.Less(cl.t, count, maxBurst, "messages cause messages without end: %+v", cl.net[0])
+		require.Less(cl.t, count, maxDeliveries, "message loop at %+v", cl.net[0])
 		cl.deliver(0, false)
 	}
 }
--- a/internal/state/replica/core.go
+++ b/internal/state/replica/core.go
@@ -12,28 +12,28 @@
 const (
 	// maxBatchEntries bounds the entries of one append.
 	maxBatchEntries = 512
-	// maxBatchBytes bounds the payload of one append.
+	// maxBatchBytes bounds the entry data of one append.
 	maxBatchBytes = 1 << 20
-	// maxApply bounds the entries handed out to be applied at a time, so that a
-	// leader with thousands of them to apply goes on sending heartbeats.
-	maxApply = 64
-	// maxUncommitted bounds the entries that wait for commit.
+	// maxApplyBatch bounds the committed entries of one Ready, so that a leader
+	// with thousands of entries to apply keeps sending heartbeats.
+	maxApplyBatch = 64
+	// maxUncommitted bounds the entries that are appended but not committed.
 	maxUncommitted = 8192
 )
 
-// Core is the log's state machine. Set the exported fields, then call Restore.
-// It is not safe for concurrent use.
+// Core is one member of the Raft cluster. Set the exported fields, then call
+// Restore. It is not safe for concurrent use.
 type Core struct {
 	ID string
-	// Members are the voters that the cluster starts with, unless the disk
-	// names them.
+	// Members are the initial voters of the cluster. It is ignored if the hard
+	// state or a snapshot names voters.
 	Members   []string
 	Election  time.Duration
 	Heartbeat time.Duration
 	Rand      *rand.Rand
-	// LazyPropagation leaves followers to learn of commits with the next entries or
-	// heartbeat, and sends the log to spares with heartbeats only. It suits a
-	// state that only the leader answers from.
+	// LazyPropagation sends followers the commit index with the next entries or
+	// heartbeat only, and sends entries to non-voters with heartbeats only. It
+	// saves messages where only the leader serves reads.
 	LazyPropagation bool
 
 	hard      HardState
@@ -43,57 +43,57 @@
 	log       memLog
 	stable    uint64 // last synced index
 	commit    uint64
-	applied   uint64 // last index handed out in Committed
-
-	heardLeader time.Time // last message of a live leader
-	electionAt  time.Time
-	nextBeat    time.Time
-	votes       map[string]bool
-	progress    map[string]*progress
-	// history holds the sets of voters since the snapshot; the last is in force.
-	history []membersAt
-
-	early    []Message
-	messages []Message
-	install  *Snapshot
+	applied   uint64 // last index returned in Ready.Committed
+
+	lastLeaderContact time.Time // last message from the current leader
+	electionAt        time.Time
+	nextHeartbeat     time.Time
+	votes             map[string]bool
+	progress          map[string]*progress
+	// membershipHistory holds the sets of voters since the snapshot. The last
+	// one is in effect.
+	membershipHistory []membershipEntry
+
+	immediate       []Message
+	messages        []Message
+	pendingSnapshot *Snapshot
 }
 
-// progress is what a leader knows of one member.
+// progress is the replication state of one follower at the leader.
 type progress struct {
 	match   uint64
 	next    uint64
 	learner bool
-	// disk is the data folder that match is about.
-	disk  string
-	heard time.Time
-	// snapshotSent delays a second snapshot.
-	snapshotSent time.Time
+	// disk is the id of the data folder that match refers to.
+	disk        string
+	lastContact time.Time
+	// snapshotSentAt is when the last snapshot was sent; see snapshotResend.
+	snapshotSentAt time.Time
 }
 
-// Restore sets the state that was read from the disk.
+// Restore initializes the member with the state read from disk.
 func (co *Core) Restore(now time.Time, hard HardState, snap Snapshot, entries []Entry) {
 	co.hard = hard
 	co.role = Follower
 	co.log = memLog{snapIndex: snap.Index, snapTerm: snap.Term, snap: snap, entries: entries}
-	co.restoreMembers()
+	co.restoreMembership()
 	co.stable = co.log.last()
 	co.commit = snap.Index
 	co.applied = snap.Index
-	co.heardLeader = now
+	co.lastLeaderContact = now
 	co.resetElection(now)
 }
 
-// RestoreCommit notes, after Restore, that the entries up to an index were
-// committed when the process ended, so that they are applied while a leader is
-// still to be found.
+// RestoreCommit sets the commit index known before the restart, so that those
+// entries are applied before a leader is elected. Call it after Restore.
 func (co *Core) RestoreCommit(index uint64) {
 	co.commit = max(co.commit, min(index, co.log.last()))
 }
 
-// Commit returns the index up to which entries are known to be committed.
+// Commit returns the commit index.
 func (co *Core) Commit() uint64 { return co.commit }
 
-// Status returns a copy of the member's state for display.
+// Status returns the current state of the member.
 func (co *Core) Status() Status {
 	st := Status{
 		ID: co.ID, Role: co.role, Term: co.hard.Term, Leader: co.leader, Learner: co.learner(),
@@ -108,13 +108,13 @@
 	return st
 }
 
-// Role returns what the member is at present.
+// Role returns the current role of the member.
 func (co *Core) Role() Role { return co.role }
 
-// LeaderID returns the leader that the member follows, or "".
+// LeaderID returns the id of the current leader, "" if none is known.
 func (co *Core) LeaderID() string { return co.leader }
 
-// Tick lets time pass: elections, heartbeats, check-quorum.
+// Tick starts elections, sends heartbeats and runs check-quorum where due.
 func (co *Core) Tick(now time.Time) {
 	if co.role == Leader {
 		co.tickLeader(now)
@@ -125,66 +125,67 @@
 	}
 	co.leader = ""
 	co.resetElection(now)
-	if co.learner() || !co.isMember(co.ID) {
+	if co.learner() || !co.isVoter(co.ID) {
 		return
 	}
 	co.startPreVote(now)
 }
 
 func (co *Core) tickLeader(now time.Time) {
-	if !co.quorumHeard(now) {
+	if !co.quorumActive(now) {
 		co.becomeFollower(now, co.hard.Term, "")
 		return
 	}
-	if now.Before(co.nextBeat) {
+	if now.Before(co.nextHeartbeat) {
 		return
 	}
-	co.nextBeat = now.Add(co.Heartbeat)
+	co.nextHeartbeat = now.Add(co.Heartbeat)
 	for _, id := range co.followers() {
 		co.sendAppend(now, id, true)
 	}
 }
 
-// quorumHeard implements check-quorum: a leader that has not heard from a
-// majority for an election timeout is no leader.
-func (co *Core) quorumHeard(now time.Time) bool {
+// quorumActive implements check-quorum: a leader steps down if it has not heard
+// from a majority for an election timeout.
+func (co *Core) quorumActive(now time.Time) bool {
 	heard := 1
 	for id, pr := range co.progress {
-		if co.counts(id, pr) && now.Sub(pr.heard) < co.Election {
+		if co.countsForMajority(id, pr) && now.Sub(pr.lastContact) < co.Election {
 			heard++
 		}
 	}
 	return heard >= co.quorum()
 }
 
-// leadMargin is taken off the time for which a leader is sure to lead: replies
-// are counted on arrival, and voters count from the message they answer.
-const leadMargin = 100 * time.Millisecond
+// leaseMargin shortens the leader lease: the leader counts from the arrival of
+// a reply, while the voter counts from the earlier message that it replies to.
+const leaseMargin = 100 * time.Millisecond
 
-// LeadsUntil returns the time until which no other leader can have been
-// elected, going by the replies of a majority; zero where it does not lead.
-func (co *Core) LeadsUntil() time.Time {
+// LeaseUntil returns the end of the leader lease: until then no other leader
+// can be elected, according to the replies of a majority. It is zero if this
+// member is not the leader.
+func (co *Core) LeaseUntil() time.Time {
 	if co.role != Leader {
 		return time.Time{}
 	}
 	heard := make([]time.Time, 0, len(co.progress))
 	for id, pr := range co.progress {
-		if co.counts(id, pr) {
-			heard = append(heard, pr.heard)
+		if co.countsForMajority(id, pr) {
+			heard = append(heard, pr.lastContact)
 		}
 	}
 	slices.SortFunc(heard, func(a, b time.Time) int { return b.Compare(a) })
 	need := co.quorum() - 1
 	switch {
 	case need == 0:
-		return co.nextBeat.Add(co.Election - leadMargin)
+		return co.nextHeartbeat.Add(co.Election - leaseMargin)
 	case len(heard) < need:
 		return time.Time{}
 	}
-	return heard[need-1].Add(co.Election - leadMargin)
+	return heard[need-1].Add(co.Election - leaseMargin)
 }
 
-// Propose appends a command to the leader's log and returns its place.
+// Propose appends a command to the leader's log and returns its index and term.
 func (co *Core) Propose(data []byte) (index, term uint64, err error) {
 	return co.propose(EntryCommand, data)
 }
@@ -201,7 +202,7 @@
 	return ent.Index, ent.Term, nil
 }
 
-// Step takes one message from another member.
+// Step handles one message from another member.
 func (co *Core) Step(now time.Time, msg Message) {
 	if msg.To != co.ID {
 		return
@@ -222,30 +223,30 @@
 	}
 }
 
-// Ready returns what has to be done since the last call. The owner must finish
-// it and call Synced before the next call of Ready.
+// Ready returns the work that is due since the last call. The caller must
+// finish it and call Synced before it calls Ready again.
 func (co *Core) Ready() Ready {
 	if co.role == Leader {
 		co.broadcastNew()
 	}
-	rd := Ready{Early: co.early, Messages: co.messages, Snapshot: co.install}
-	co.early, co.messages, co.install = nil, nil, nil
+	rd := Ready{Immediate: co.immediate, Messages: co.messages, Snapshot: co.pendingSnapshot}
+	co.immediate, co.messages, co.pendingSnapshot = nil, nil, nil
 	if co.hardDirty {
 		hard := co.hard
 		rd.Hard = &hard
 		co.hardDirty = false
 	}
-	rd.Entries = co.log.from(co.stable+1, maxUncommitted, 1<<30)
-	bound := min(co.commit, co.stable, co.applied+maxApply)
+	rd.Entries = co.log.entriesFrom(co.stable+1, maxUncommitted, 1<<30)
+	bound := min(co.commit, co.stable, co.applied+maxApplyBatch)
 	if bound > co.applied {
-		rd.Committed = co.log.from(co.applied+1, int(bound-co.applied), 1<<30)
+		rd.Committed = co.log.entriesFrom(co.applied+1, int(bound-co.applied), 1<<30)
 		co.applied = bound
 		co.applyReadmits(rd.Committed)
 	}
 	return rd
 }
 
-// Synced tells that the writes of rd are on disk.
+// Synced reports that the writes of rd are on disk.
 func (co *Core) Synced(now time.Time, rd Ready) {
 	if len(rd.Entries) > 0 {
 		last := rd.Entries[len(rd.Entries)-1]
@@ -258,15 +259,17 @@
 	}
 }
 
-// Compact drops the log up to the snapshot's index.
+// Compact drops the entries up to the snapshot's index.
 func (co *Core) Compact(snap Snapshot) {
 	if snap.Index <= co.log.snapIndex || snap.Index > co.applied {
 		return
 	}
 	co.log.compact(snap)
-	co.compactMembers(snap.Index)
+	co.compactMembership(snap.Index)
 }
 
+// applyReadmits lets a learner vote again once the entry that readmits its disk
+// is committed.
 func (co *Core) applyReadmits(entries []Entry) {
 	for _, ent := range entries {
 		if ent.Kind != EntryReadmit {
@@ -283,6 +286,7 @@
 	}
 }
 
+// resetElection sets a randomized election timeout, one to two times Election.
 func (co *Core) resetElection(now time.Time) {
 	jitter := time.Duration(co.Rand.Int63n(int64(co.Election)))
 	co.electionAt = now.Add(co.Election + jitter)
@@ -315,13 +319,13 @@
 	co.messages = append(co.messages, msg)
 }
 
-// Applied returns the last index handed out to be applied.
+// Applied returns the last index that Ready returned as committed.
 func (co *Core) Applied() uint64 { return co.applied }
 
-// TermAt returns the term of the entry at index, 0 where it is not held.
+// TermAt returns the term of the entry at index, 0 if the log does not hold it.
 func (co *Core) TermAt(index uint64) uint64 { return co.log.term(index) }
 
-// Tail returns the synced entries behind the latest snapshot.
+// Tail returns the synced entries after the latest snapshot.
 func (co *Core) Tail() []Entry {
-	return co.log.from(co.log.snapIndex+1, int(co.stable-co.log.snapIndex), 1<<30)
+	return co.log.entriesFrom(co.log.snapIndex+1, int(co.stable-co.log.snapIndex), 1<<30)
 }
--- a/internal/state/replica/core_test.go
+++ b/internal/state/replica/core_test.go
@@ -15,22 +15,24 @@
 	for _, size := range []int{1, 3, 5} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
 			cl := newCluster(t, size, 1)
-			cl.calm(40)
+			cl.stabilize(40)
 			require.True(t, cl.propose("a"))
-			cl.calm(5)
+			cl.stabilize(5)
 			for _, id := range cl.ids {
-				require.Equal(t, cl.peers[cl.ids[0]].at, cl.peers[id].at)
-				require.GreaterOrEqual(t, cl.peers[id].at, uint64(2))
+				require.Equal(t, cl.peers[cl.ids[0]].appliedIndex, cl.peers[id].appliedIndex)
+				require.GreaterOrEqual(t, cl.peers[id].appliedIndex, uint64(2))
 			}
 		})
 	}
 }
 
-func TestFrozenLeaderStepsDownBeforeItSpeaks(t *testing.T) {
+// TestFrozenLeaderStepsDownOnNextTick checks that a leader that did not run while
+// another was elected steps down before it accepts a proposal.
+func TestFrozenLeaderStepsDownOnNextTick(t *testing.T) {
 	cl := newCluster(t, 3, 2)
-	cl.calm(40)
+	cl.stabilize(40)
 	old := cl.leader()
-	cl.cut[old] = true // frozen: takes no message, ticks no clock
+	cl.partitioned[old] = true // frozen: it gets no messages and no ticks
 	for range 100 {
 		cl.now = cl.now.Add(testTick)
 		for _, id := range cl.ids {
@@ -47,16 +49,18 @@
 	require.Error(t, err)
 }
 
-func TestIsolatedMemberDoesNotDisturb(t *testing.T) {
+// TestIsolatedMemberKeepsLeaderAndTerm checks that a member that rejoins after a
+// partition does not force an election: pre-vote keeps it from raising the term.
+func TestIsolatedMemberKeepsLeaderAndTerm(t *testing.T) {
 	cl := newCluster(t, 3, 3)
-	cl.calm(40)
+	cl.stabilize(40)
 	leader := cl.leader()
 	term := cl.peers[leader].core.hard.Term
-	lonely := cl.ids[0]
-	if lonely == leader {
-		lonely = cl.ids[1]
+	isolated := cl.ids[0]
+	if isolated == leader {
+		isolated = cl.ids[1]
 	}
-	cl.cut[lonely] = true
+	cl.partitioned[isolated] = true
 	for range 200 {
 		cl.now = cl.now.Add(testTick)
 		for _, id := range cl.ids {
@@ -64,14 +68,14 @@
 		}
 		cl.deliverAll()
 	}
-	cl.calm(40)
+	cl.stabilize(40)
 	require.Equal(t, leader, cl.leader(), "pre-vote keeps the leader")
 	require.Equal(t, term, cl.peers[leader].core.hard.Term)
 }
 
-func TestFarBehindMemberCatchesUp(t *testing.T) {
+func TestLaggingMemberCatchesUpFromSnapshot(t *testing.T) {
 	cl := newCluster(t, 3, 4)
-	cl.calm(40)
+	cl.stabilize(40)
 	behind := cl.ids[0]
 	if behind == cl.leader() {
 		behind = cl.ids[1]
@@ -87,15 +91,15 @@
 		}
 	}
 	cl.propose("after the snapshot")
-	cl.calm(300)
-	require.Equal(t, cl.peers[cl.leader()].at, cl.peers[behind].core.Applied())
+	cl.stabilize(300)
+	require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[behind].core.Applied())
 }
 
 func TestWipedMemberIsLearnerUntilReadmitted(t *testing.T) {
 	cl := newCluster(t, 3, 5)
-	cl.calm(40)
+	cl.stabilize(40)
 	cl.propose("kept")
-	cl.calm(5)
+	cl.stabilize(5)
 	wiped := cl.ids[0]
 	if wiped == cl.leader() {
 		wiped = cl.ids[1]
@@ -109,13 +113,14 @@
 	for _, msg := range cl.peers[wiped].core.Ready().Messages {
 		require.True(t, msg.Reject, "a member that lost its disk does not vote")
 	}
-	cl.calm(100)
+	cl.stabilize(100)
 	require.False(t, cl.peers[wiped].core.hard.Learner, "readmitted after it caught up")
-	require.Equal(t, cl.peers[cl.leader()].at, cl.peers[wiped].at)
+	require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[wiped].appliedIndex)
 }
 
-// TestLateSnapshotKeepsAcknowledgedEntries hands a follower a snapshot that
-// was delayed until after it had acknowledged entries behind it.
+// TestLateSnapshotKeepsAcknowledgedEntries delivers a snapshot to a follower
+// after it acknowledged entries with higher indexes. Installing the snapshot
+// would lose them.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	co := &Core{ID: "c1", Members: []string{"c1", "c2", "c3"}, Election: testElection, Heartbeat: testHeartbeat, Rand: rand.New(rand.NewSource(1))}
 	now := time.Unix(1_800_000_000, 0)
@@ -134,17 +139,18 @@
 	require.Nil(t, co.Ready().Snapshot)
 }
 
-// randomRun drives a cluster with faults from one seed.
+// randomRun runs a cluster with random faults from one seed, and checks that it
+// recovers when the faults end.
 func randomRun(t *testing.T, size int, seed int64, steps int) *cluster {
 	cl := newCluster(t, size, seed)
 	for step := range steps {
 		cl.randomStep(step)
 	}
-	cl.calm(400)
+	cl.stabilize(400)
 	require.True(t, cl.propose("last"), "seed %d: a leader exists when faults end", seed)
-	cl.calm(20)
+	cl.stabilize(20)
 	for _, id := range cl.ids {
-		require.Equal(t, cl.peers[cl.leader()].at, cl.peers[id].at, "seed %d: %s caught up", seed, id)
+		require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[id].appliedIndex, "seed %d: %s caught up", seed, id)
 	}
 	return cl
 }
@@ -156,14 +162,14 @@
 		cl.now = cl.now.Add(time.Duration(cl.rng.Int63n(int64(testTick))))
 		cl.tick(id)
 	case roll < 800 && len(cl.net) > 0:
-		// Any message may come next; some come twice.
+		// Messages are reordered, and one in ten is delivered again.
 		cl.deliver(cl.rng.Intn(len(cl.net)), cl.rng.Intn(10) == 0)
 	case roll < 850 && len(cl.net) > 0:
 		cl.net = append(cl.net[:0], cl.net[1:]...)
 	case roll < 930:
 		cl.propose(fmt.Sprintf("step %d", step))
 	case roll < 950:
-		cl.cut[id] = !cl.cut[id]
+		cl.partitioned[id] = !cl.partitioned[id]
 	case roll < 962 && cl.peers[id].up:
 		cl.peers[id].core.Tick(cl.now.Add(testElection))
 		cl.settle(id, true)
@@ -176,8 +182,8 @@
 	}
 }
 
-// allVote reports whether every member is up and votes: one disk is lost at a
-// time, since a second loss before the readmission can lose the majority.
+// allVote reports whether every member is up and may vote. Only one disk is wiped
+// at a time, since a second loss before readmission can lose the majority.
 func (cl *cluster) allVote() bool {
 	for _, id := range cl.ids {
 		if pe := cl.peers[id]; !pe.up || pe.core.hard.Learner {
--- a/internal/state/replica/elect.go
+++ b/internal/state/replica/elect.go
@@ -5,7 +5,7 @@
 func (co *Core) startPreVote(now time.Time) {
 	co.role = PreCandidate
 	co.votes = map[string]bool{co.ID: true}
-	co.askVotes(MsgPreVote, co.hard.Term+1)
+	co.requestVotes(MsgPreVote, co.hard.Term+1)
 	co.countPreVotes(now)
 }
 
@@ -14,32 +14,36 @@
 	co.setTerm(co.hard.Term+1, co.ID)
 	co.votes = map[string]bool{co.ID: true}
 	co.resetElection(now)
-	co.askVotes(MsgVote, co.hard.Term)
+	co.requestVotes(MsgVote, co.hard.Term)
 	co.countVotes(now)
 }
 
-func (co *Core) askVotes(kind MessageKind, term uint64) {
+func (co *Core) requestVotes(kind MessageKind, term uint64) {
 	last := co.log.last()
 	for _, id := range co.otherVoters() {
 		co.send(Message{Kind: kind, To: id, Term: term, Index: last, LogTerm: co.log.term(last), Disk: co.voters()[id]})
 	}
 }
 
-// leaderAlive reports whether a leader was heard within an election timeout;
-// then votes are refused, so that a member that was cut off does not disturb.
+// leaderAlive reports whether there was a message from a leader within an
+// election timeout. Votes are refused then, so that a member that rejoins after
+// a network partition does not disrupt a healthy leader.
 func (co *Core) leaderAlive(now time.Time) bool {
 	if co.role == Leader {
 		return true
 	}
-	return co.leader != "" && now.Sub(co.heardLeader) < co.Election
+	return co.leader != "" && now.Sub(co.lastLeaderContact) < co.Election
 }
 
-// mayVote reports whether this member's vote counts. A spare may be a voter
-// before its own log says so: the candidate's set then names its disk.
+// mayVote reports whether this member's vote counts. A non-voter may have become
+// a voter without having received the entry that says so: then the request
+// carries its disk from the candidate's set of voters.
 func (co *Core) mayVote(msg Message) bool {
 	return !co.learner() || (msg.Disk != "" && msg.Disk == co.hard.Disk)
 }
 
+// upToDate reports whether the candidate's log is at least as up to date as this
+// member's (section 5.4.1 of the Raft paper).
 func (co *Core) upToDate(msg Message) bool {
 	last := co.log.last()
 	term := co.log.term(last)
@@ -68,7 +72,7 @@
 	if co.role != PreCandidate || msg.Term != co.hard.Term+1 {
 		return
 	}
-	co.takeVote(msg.From)
+	co.recordVote(msg.From)
 	co.countPreVotes(now)
 }
 
@@ -103,7 +107,7 @@
 	if co.role != Candidate || msg.Term != co.hard.Term || msg.Reject {
 		return
 	}
-	co.takeVote(msg.From)
+	co.recordVote(msg.From)
 	co.countVotes(now)
 }
 
@@ -113,9 +117,9 @@
 	}
 }
 
-// takeVote counts the vote of a voter of the candidate's own set.
-func (co *Core) takeVote(id string) {
-	if co.isMember(id) {
+// recordVote counts a vote if the candidate's set of voters holds its sender.
+func (co *Core) recordVote(id string) {
+	if co.isVoter(id) {
 		co.votes[id] = true
 	}
 }
@@ -125,11 +129,11 @@
 	co.leader = co.ID
 	co.progress = make(map[string]*progress, len(co.voters()))
 	for _, id := range co.otherVoters() {
-		co.progress[id] = &progress{next: co.log.last() + 1, heard: now}
+		co.progress[id] = &progress{next: co.log.last() + 1, lastContact: now}
 	}
-	co.nextBeat = now
-	// An entry of the new term lets older entries commit (section 5.4.2). It
-	// repeats the set of voters, so that members that join later learn of it.
-	co.repeatMembers()
+	co.nextHeartbeat = now
+	// Older entries commit only with an entry of the new term (section 5.4.2).
+	// It carries the set of voters, so that members that join later receive it.
+	co.proposeCurrentMembership()
 	co.tickLeader(now)
 }
--- a/internal/state/replica/members.go
+++ b/internal/state/replica/members.go
@@ -9,41 +9,41 @@
 	"greengageweir/internal/duty/invariant"
 )
 
-// membersAt is a set of voters and the entry that brought it.
-type membersAt struct {
+// membershipEntry is a set of voters and the index of the entry that set it.
+type membershipEntry struct {
 	index  uint64
 	voters map[string]string
 }
 
-// restoreMembers rebuilds the history of members from the snapshot and the log.
-func (co *Core) restoreMembers() {
-	base := membersAt{index: co.log.snapIndex, voters: co.log.snap.Members.Voters}
+// restoreMembership rebuilds the membership history from the snapshot and log.
+func (co *Core) restoreMembership() {
+	base := membershipEntry{index: co.log.snapIndex, voters: co.log.snap.Members.Voters}
 	if len(base.voters) == 0 {
 		base.voters = make(map[string]string, len(co.Members))
-		for _, id := range co.initial() {
+		for _, id := range co.initialVoters() {
 			base.voters[id] = ""
 		}
 	}
-	co.history = []membersAt{base}
+	co.membershipHistory = []membershipEntry{base}
 	for _, ent := range co.log.entries {
-		co.noteMembers(ent)
+		co.recordMembership(ent)
 	}
 }
 
-func (co *Core) initial() []string {
+func (co *Core) initialVoters() []string {
 	if len(co.hard.Initial) > 0 {
 		return co.hard.Initial
 	}
 	return co.Members
 }
 
-// append adds an entry to the log; a set of voters is in force at once.
+// append adds an entry to the log. A set of voters takes effect immediately.
 func (co *Core) append(ent Entry) {
 	co.log.append(ent)
-	co.noteMembers(ent)
+	co.recordMembership(ent)
 }
 
-func (co *Core) noteMembers(ent Entry) {
+func (co *Core) recordMembership(ent Entry) {
 	if ent.Kind != EntryMembers {
 		return
 	}
@@ -52,20 +52,20 @@
 		invariant.Check(false, "membersEntryReadable", "index", ent.Index, "err", err)
 		return
 	}
-	co.history = append(co.history, membersAt{index: ent.Index, voters: ms.Voters})
+	co.membershipHistory = append(co.membershipHistory, membershipEntry{index: ent.Index, voters: ms.Voters})
 }
 
-// truncateMembers returns to the set in force at index.
-func (co *Core) truncateMembers(index uint64) {
-	for len(co.history) > 1 && co.history[len(co.history)-1].index > index {
-		co.history = co.history[:len(co.history)-1]
+// truncateMembership reverts to the set of voters in effect at index.
+func (co *Core) truncateMembership(index uint64) {
+	for len(co.membershipHistory) > 1 && co.membershipHistory[len(co.membershipHistory)-1].index > index {
+		co.membershipHistory = co.membershipHistory[:len(co.membershipHistory)-1]
 	}
 }
 
-// MembersAt returns the set of voters as of an index of the log.
+// MembersAt returns a copy of the set of voters in effect at an index.
 func (co *Core) MembersAt(index uint64) Membership {
-	found := co.history[0]
-	for _, at := range co.history[1:] {
+	found := co.membershipHistory[0]
+	for _, at := range co.membershipHistory[1:] {
 		if at.index <= index {
 			found = at
 		}
@@ -73,30 +73,32 @@
 	return Membership{Voters: maps.Clone(found.voters)}
 }
 
-func (co *Core) compactMembers(index uint64) {
-	for len(co.history) > 1 && co.history[1].index <= index {
-		co.history = co.history[1:]
+func (co *Core) compactMembership(index uint64) {
+	for len(co.membershipHistory) > 1 && co.membershipHistory[1].index <= index {
+		co.membershipHistory = co.membershipHistory[1:]
 	}
 }
 
-func (co *Core) voters() map[string]string { return co.history[len(co.history)-1].voters }
+func (co *Core) voters() map[string]string {
+	return co.membershipHistory[len(co.membershipHistory)-1].voters
+}
 
 func (co *Core) voterIDs() []string { return slices.Sorted(maps.Keys(co.voters())) }
 
-func (co *Core) isMember(id string) bool {
+func (co *Core) isVoter(id string) bool {
 	_, ok := co.voters()[id]
 	return ok
 }
 
 // learner reports whether this member may not vote yet: its disk is new and
-// the set of voters does not name it.
+// not the one in the set of voters.
 func (co *Core) learner() bool {
 	return co.hard.Learner && co.voters()[co.ID] != co.hard.Disk
 }
 
-// counts reports whether a follower counts for a majority: it is a voter, and
-// either no learner or admitted with the disk that it has.
-func (co *Core) counts(id string, pr *progress) bool {
+// countsForMajority reports whether a follower is a voter, and either is not a
+// learner or was admitted with its current disk.
+func (co *Core) countsForMajority(id string, pr *progress) bool {
 	disk, voter := co.voters()[id]
 	return voter && (!pr.learner || (disk != "" && disk == pr.disk))
 }
@@ -108,28 +110,32 @@
 	return slices.DeleteFunc(ids, func(id string) bool { return id == co.ID })
 }
 
-// followers are all that a leader sends the log to: voters and spares.
+// followers returns the ids of all voters and non-voters that the leader
+// replicates to, sorted.
 func (co *Core) followers() []string { return slices.Sorted(maps.Keys(co.progress)) }
 
-// AddSpare makes a leader send its log to a process that is no voter.
-func (co *Core) AddSpare(now time.Time, id string) {
+// AddNonVoter makes the leader replicate its log to a process that does not
+// vote. It does nothing at other members or for a known process.
+func (co *Core) AddNonVoter(now time.Time, id string) {
 	if co.role != Leader || id == co.ID || co.progress[id] != nil {
 		return
 	}
-	co.progress[id] = &progress{next: co.log.last() + 1, heard: now, learner: true}
+	co.progress[id] = &progress{next: co.log.last() + 1, lastContact: now, learner: true}
 }
 
-// SpareReady returns the disk of a spare that one append brings up to date.
-func (co *Core) SpareReady(id string) (disk string, ready bool) {
+// CaughtUpNonVoter returns the disk of a non-voter that lags the commit index by
+// at most one append.
+func (co *Core) CaughtUpNonVoter(id string) (disk string, ready bool) {
 	pr := co.progress[id]
-	if pr == nil || co.isMember(id) || pr.disk == "" || pr.match+maxBatchEntries < co.commit {
+	if pr == nil || co.isVoter(id) || pr.disk == "" || pr.match+maxBatchEntries < co.commit {
 		return "", false
 	}
 	return pr.disk, true
 }
 
-// repeatMembers proposes the present set, as the first entry of a leader.
-func (co *Core) repeatMembers() {
+// proposeCurrentMembership proposes the current set of voters as the first entry
+// of a new leader.
+func (co *Core) proposeCurrentMembership() {
 	data, err := json.Marshal(Membership{Voters: co.voters()})
 	if err != nil {
 		invariant.Check(false, "membersEntryWritable", "err", err)
@@ -138,18 +144,19 @@
 	_, _, _ = co.propose(EntryMembers, data)
 }
 
-// ChangeMembers proposes a set of voters that differs by one member from the
-// present one, so that any majority of the one meets any majority of the
-// other (Ongaro's dissertation, section 4.1). The present set must be
-// committed, and an entry of the leader's own term with it.
+// ChangeMembers proposes a set of voters that differs from the current one by
+// one member, so that any two majorities of the two sets overlap (Ongaro's
+// dissertation, section 4.1). It returns KindPending until the current set and
+// an entry of the leader's own term are committed, and KindMembers if the set
+// differs by another number or lacks the leader.
 func (co *Core) ChangeMembers(now time.Time, voters map[string]string) error {
 	if co.role != Leader {
 		return &Error{Op: "change members", Kind: KindNotLeader}
 	}
-	if co.history[len(co.history)-1].index > co.commit || co.log.term(co.commit) != co.hard.Term {
+	if co.membershipHistory[len(co.membershipHistory)-1].index > co.commit || co.log.term(co.commit) != co.hard.Term {
 		return &Error{Op: "change members", Kind: KindPending}
 	}
-	if _, self := voters[co.ID]; !self || setDifference(voters, co.voters()) != 1 {
+	if _, self := voters[co.ID]; !self || symmetricDifference(voters, co.voters()) != 1 {
 		return &Error{Op: "change members", Kind: KindMembers}
 	}
 	data, err := json.Marshal(Membership{Voters: voters})
@@ -160,12 +167,13 @@
 		return err
 	}
 	for id := range voters {
-		co.AddSpare(now, id)
+		co.AddNonVoter(now, id)
 	}
 	return nil
 }
 
-func setDifference(one, other map[string]string) int {
+// symmetricDifference counts the ids that are in exactly one of the two sets.
+func symmetricDifference(one, other map[string]string) int {
 	count := 0
 	for id := range one {
 		if _, ok := other[id]; !ok {
@@ -180,11 +188,12 @@
 	return count
 }
 
-// Silence tells, at a leader, how long each voter and spare has not answered.
-func (co *Core) Silence(now time.Time) map[string]time.Duration {
+// SinceLastContact returns, at the leader, the time since the last reply of each
+// voter and non-voter.
+func (co *Core) SinceLastContact(now time.Time) map[string]time.Duration {
 	out := make(map[string]time.Duration, len(co.progress))
 	for id, pr := range co.progress {
-		out[id] = now.Sub(pr.heard)
+		out[id] = now.Sub(pr.lastContact)
 	}
 	return out
 }
--- a/internal/state/replica/memlog.go
+++ b/internal/state/replica/memlog.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// memLog is the part of the log behind the latest snapshot.
+// memLog holds the entries after the latest snapshot in memory.
 type memLog struct {
 	snapIndex uint64
 	snapTerm  uint64
@@ -12,7 +12,7 @@
 
 func (ml *memLog) last() uint64 { return ml.snapIndex + uint64(len(ml.entries)) }
 
-// term returns the term of the entry at index, 0 where it is not held.
+// term returns the term of the entry at index, 0 if the log does not hold it.
 func (ml *memLog) term(index uint64) uint64 {
 	if index == ml.snapIndex {
 		return ml.snapTerm
@@ -25,15 +25,16 @@
 
 func (ml *memLog) append(ent Entry) { ml.entries = append(ml.entries, ent) }
 
-// truncate drops all entries after index. The backing array is not reused,
-// since earlier slices of it may still wait to be sent.
+// truncate drops all entries after index. It allocates a new backing array,
+// since messages not sent yet may still hold slices of the old one.
 func (ml *memLog) truncate(index uint64) {
 	keep := ml.entries[:index-ml.snapIndex]
 	ml.entries = append(make([]Entry, 0, len(keep)+maxBatchEntries), keep...)
 }
 
-// from returns up to count entries and about size bytes, starting at index.
-func (ml *memLog) from(index uint64, count, size int) []Entry {
+// entriesFrom returns up to count entries starting at index, with at most size
+// bytes of data, but at least one entry if there is any.
+func (ml *memLog) entriesFrom(index uint64, count, size int) []Entry {
 	if index <= ml.snapIndex || index > ml.last() {
 		return nil
 	}
@@ -48,6 +49,7 @@
 	return tail[:len(tail):len(tail)]
 }
 
+// compact drops the entries up to the snapshot's index.
 func (ml *memLog) compact(snap Snapshot) {
 	tail := ml.entries[snap.Index-ml.snapIndex:]
 	ml.entries = append(make([]Entry, 0, len(tail)), tail...)
@@ -56,8 +58,8 @@
 	ml.snap = snap
 }
 
-// hasReadmit reports whether an uncommitted readmit entry with this payload
-// is in the log.
+// hasReadmit reports whether the log holds an uncommitted readmit entry with
+// this payload.
 func (ml *memLog) hasReadmit(data []byte, commit uint64) bool {
 	for index := max(commit, ml.snapIndex) + 1; index <= ml.last(); index++ {
 		ent := ml.entries[index-ml.snapIndex-1]
--- a/internal/state/replica/rules_test.go
+++ b/internal/state/replica/rules_test.go
@@ -11,8 +11,8 @@
 
 var ruleTime = time.Unix(1_800_000_000, 0)
 
-// loneCore returns one member of three with a log of entries of these terms.
-func loneCore(hard HardState, terms ...uint64) *Core {
+// newTestCore returns one member of three. Its log has one entry per given term.
+func newTestCore(hard HardState, terms ...uint64) *Core {
 	co := &Core{
 		ID: "c1", Members: []string{"c1", "c2", "c3"}, Election: testElection, Heartbeat: testHeartbeat,
 		Rand: rand.New(rand.NewSource(1)),
@@ -25,16 +25,16 @@
 	return co
 }
 
-// flush does what the core asks for and returns what it says.
+// flush does all work that the core returns and returns the messages it sends.
 func (co *Core) flush() []Message {
-	var said []Message
+	var sent []Message
 	for {
 		rd := co.Ready()
 		if rd.Empty() {
-			return said
+			return sent
 		}
 		co.Synced(ruleTime, rd)
-		said = append(append(said, rd.Early...), rd.Messages...)
+		sent = append(append(sent, rd.Immediate...), rd.Messages...)
 	}
 }
 
@@ -54,32 +54,34 @@
 	co.flush()
 }
 
-// TestLeaderCommitsOnlyItsOwnTerm is the case of figure 8 of the Raft paper.
+// TestLeaderCommitsOnlyItsOwnTerm covers figure 8 of the Raft paper: an entry of
+// an earlier term that a majority holds may still be overwritten.
 func TestLeaderCommitsOnlyItsOwnTerm(t *testing.T) {
-	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
+	co := newTestCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	co.acknowledge(2, false)
-	require.Zero(t, co.Status().Commit, "an entry of an earlier term is not committed by counting")
+	require.Zero(t, co.Status().Commit, "counting replicas does not commit an entry of an earlier term")
 	co.acknowledge(3, false)
 	require.Equal(t, uint64(3), co.Status().Commit)
 }
 
-// TestLeaderBeatsWhileItApplies takes over from a log of a thousand entries.
-func TestLeaderBeatsWhileItApplies(t *testing.T) {
-	co := loneCore(HardState{Term: 1, Disk: "d"}, slices.Repeat([]uint64{1}, 1000)...)
+// TestRestoredCommitIsAppliedInBatches checks that a restart applies the committed
+// entries before a leader is known, in batches that leave time for heartbeats.
+func TestRestoredCommitIsAppliedInBatches(t *testing.T) {
+	co := newTestCore(HardState{Term: 1, Disk: "d"}, slices.Repeat([]uint64{1}, 1000)...)
 	co.RestoreCommit(2000)
-	require.Equal(t, uint64(1000), co.Commit(), "no further than the log reaches")
+	require.Equal(t, uint64(1000), co.Commit(), "the commit index is limited to the last entry")
 	applied := 0
 	for rd := co.Ready(); !rd.Empty(); rd = co.Ready() {
-		require.LessOrEqual(t, len(rd.Committed), maxApply)
+		require.LessOrEqual(t, len(rd.Committed), maxApplyBatch)
 		applied += len(rd.Committed)
 		co.Synced(ruleTime, rd)
 	}
-	require.Equal(t, 1000, applied, "before a leader is found")
+	require.Equal(t, 1000, applied, "all entries are applied before a leader is known")
 }
 
-func TestLearnersAreNotCounted(t *testing.T) {
-	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
+func TestLearnersDoNotCountForCommit(t *testing.T) {
+	co := newTestCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	co.acknowledge(3, true)
 	require.Zero(t, co.Status().Commit)
@@ -87,10 +89,10 @@
 	require.Equal(t, uint64(3), co.Status().Commit)
 }
 
-// TestLostDisksRepliesDoNotCount lets a reply of a disk that was lost arrive
-// behind the first of the new disk.
-func TestLostDisksRepliesDoNotCount(t *testing.T) {
-	co := loneCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
+// TestRepliesFromLostDiskDoNotCount delivers a reply from a lost disk after the
+// first reply from its replacement. The entries that it confirms are gone.
+func TestRepliesFromLostDiskDoNotCount(t *testing.T) {
+	co := newTestCore(HardState{Term: 2, Disk: "d1"}, 1, 2)
 	co.lead(t)
 	reply := func(index uint64, disk string, learner bool) {
 		co.Step(ruleTime, Message{Kind: MsgAppendReply, From: "c2", To: "c1", Term: co.hard.Term, Index: index, Learner: learner, Disk: disk})
@@ -107,7 +109,7 @@
 		name  string
 		hard  HardState
 		msg   Message
-		heard bool // a leader was heard just now
+		heard bool // the member just received a message from a leader
 		grant bool
 	}{
 		{"better log", HardState{Term: 2, Disk: "d"}, Message{Kind: MsgVote, Term: 3, Index: 3, LogTerm: 2}, false, true},
@@ -126,16 +128,16 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			co := loneCore(tc.hard, 1, 2)
+			co := newTestCore(tc.hard, 1, 2)
 			if tc.heard {
 				co.Step(ruleTime, Message{Kind: MsgAppend, From: "c3", To: "c1", Term: 2, Index: 2, LogTerm: 2})
 				co.flush()
 			}
 			tc.msg.From, tc.msg.To = "c2", "c1"
 			co.Step(ruleTime, tc.msg)
-			said := co.flush()
-			require.Len(t, said, 1)
-			require.Equal(t, tc.grant, !said[0].Reject)
+			sent := co.flush()
+			require.Len(t, sent, 1)
+			require.Equal(t, tc.grant, !sent[0].Reject)
 		})
 	}
 }
--- a/internal/state/replica/types.go
+++ b/internal/state/replica/types.go
@@ -1,23 +1,23 @@
-// Package replica is the replicated log's state machine: elections with
-// pre-vote and check-quorum, log replication, snapshots, and re-admission of a
-// member that lost its disk. It reads no clock, opens no file and sends
-// nothing: time and messages are arguments, and what must be synced, sent and
-// applied is returned by Ready.
+// Package replica implements the consensus algorithm of the replicated log:
+// elections with pre-vote and check-quorum, log replication, snapshots, and
+// re-admission of a member that lost its disk. It performs no I/O and reads no
+// clock: time and messages are arguments, and Ready returns what the caller
+// must sync, send and apply.
 //
 // The algorithm is Raft (Ongaro and Ousterhout, "In Search of an
 // Understandable Consensus Algorithm", 2014) with pre-vote and check-quorum
 // from Ongaro's dissertation (sections 9.6 and 6.2). It differs in one point:
-// a member that starts on an empty disk is a learner. It neither votes nor is
-// counted for commits until it applies a Readmit entry that the other members
-// committed without it. The set of voters changes by one member at a time, by
-// an entry that is in force once it is appended (section 4.1).
+// a member that starts on an empty disk is a learner. It neither votes nor
+// counts for commits until it applies a Readmit entry that the other members
+// committed without it. The set of voters changes by one member at a time,
+// through an entry that takes effect when it is appended (section 4.1).
 //
 // Usage:
 //
 //	core := &replica.Core{ID: "c1", Members: ids, Election: 400 * time.Millisecond, ...}
 //	core.Restore(hard, snap, entries)
 //	core.Tick(now); core.Step(now, msg); core.Propose(data)
-//	rd := core.Ready()       // send rd.Early, sync rd.Entries and rd.Hard,
+//	rd := core.Ready()       // send rd.Immediate, sync rd.Hard and rd.Entries,
 //	core.Synced(now, rd)     // then send rd.Messages, apply rd.Committed
 package replica
 
@@ -25,37 +25,39 @@
 	"greengageweir/internal/duty/errkind"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors.
+// Error kinds.
 const (
 	KindNotLeader Kind = "not the leader"
 	KindBacklog   Kind = "too many entries wait for commit"
-	// KindPending says that an earlier change of members is not settled.
+	// KindPending means that an earlier membership change is not committed.
 	KindPending Kind = "a change of members is under way"
+	// KindMembers means that the proposed set of voters is not allowed.
 	KindMembers Kind = "not a change of one member"
 )
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// EntryKind tells what an entry carries.
+// EntryKind is the type of an entry's payload.
 type EntryKind string
 
-// The kinds of entries.
+// Entry kinds.
 const (
+	// EntryCommand carries a command for the state machine.
 	EntryCommand EntryKind = "command"
-	// EntryNoop is proposed by each new leader.
+	// EntryNoop carries no command and is skipped when applied.
 	EntryNoop EntryKind = "noop"
 	// EntryReadmit makes a learner a voter again.
 	EntryReadmit EntryKind = "readmit"
-	// EntryMembers replaces the set of voters; it is in force from the moment
-	// a member appends it. Each new leader repeats the present set in one.
+	// EntryMembers replaces the set of voters and takes effect when a member
+	// appends it. Each new leader starts its term with the current set.
 	EntryMembers EntryKind = "members"
 )
 
-// Entry is one record of the log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index uint64    `json:"i"`
 	Term  uint64    `json:"t"`
@@ -63,39 +65,39 @@
 	Data  []byte    `json:"d,omitempty"`
 }
 
-// HardState is the state that must be synced before a member answers.
+// HardState is the state that must be on disk before a member replies.
 type HardState struct {
 	Term uint64 `json:"term"`
 	Vote string `json:"vote,omitempty"`
-	// Learner is set while the member is not to vote.
+	// Learner is set while the member must not vote.
 	Learner bool `json:"learner,omitempty"`
-	// Disk identifies the data folder, so that a wiped one is known.
+	// Disk is the unique id of the data folder. A wiped folder gets a new one.
 	Disk string `json:"disk"`
-	// Initial lists the voters that the cluster was created with; it is empty
-	// where they come with the settings, and for members that joined later.
+	// Initial lists the voters that the cluster was created with. It is empty
+	// if they come from the settings, and for members that joined later.
 	Initial []string `json:"initial,omitempty"`
 }
 
-// Membership is the set of voters, each with the disk that it was admitted
-// with. An empty disk stands for any disk that is not a learner's.
+// Membership maps each voter to the id of the disk that it was admitted with.
+// An empty id matches any disk that is not a learner's.
 type Membership struct {
 	Voters map[string]string `json:"voters"`
 }
 
-// Snapshot is the applied state up to an index.
+// Snapshot is the state of the state machine at an index of the log.
 type Snapshot struct {
 	Index uint64 `json:"index"`
 	Term  uint64 `json:"term"`
 	Data  []byte `json:"data,omitempty"`
-	// Members is the set of voters at the index; it may be empty in a
-	// snapshot of a cluster whose members come with the settings.
+	// Members is the set of voters at the index. It may be empty if the
+	// members of the cluster come from the settings.
 	Members Membership `json:"members"`
 }
 
-// MessageKind tells messages apart.
+// MessageKind is the type of a message.
 type MessageKind string
 
-// The kinds of messages.
+// Message kinds.
 const (
 	MsgPreVote      MessageKind = "preVote"
 	MsgPreVoteReply MessageKind = "preVoteReply"
@@ -106,7 +108,7 @@
 	MsgSnapshot     MessageKind = "snapshot"
 )
 
-// Message passes between two members.
+// Message is sent from one member to another.
 type Message struct {
 	Kind MessageKind `json:"kind"`
 	From string      `json:"from"`
@@ -119,8 +121,9 @@
 	Commit  uint64  `json:"commit,omitempty"`
 	Entries []Entry `json:"entries,omitempty"`
 	Reject  bool    `json:"reject,omitempty"`
-	// Learner and Disk mark replies of a member that is not to be counted. In
-	// a request for a vote, Disk is the one that the candidate's set names.
+	// Learner and Disk tell in a reply whether the sender counts for a majority.
+	// In a vote request, Disk is the receiver's disk in the candidate's set of
+	// voters.
 	Learner  bool      `json:"learner,omitempty"`
 	Disk     string    `json:"disk,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
@@ -132,33 +135,35 @@
 	Disk   string `json:"disk"`
 }
 
-// Ready is what the owner of a Core has to do next.
+// Ready is the work that the caller of a Core must do next.
 type Ready struct {
-	// Early may be sent before the sync (a leader's appends).
-	Early []Message
-	// Hard is to be synced if not nil.
+	// Immediate holds messages that may be sent before the sync: the appends and
+	// snapshots of a leader.
+	Immediate []Message
+	// Hard must be synced if not nil.
 	Hard *HardState
-	// Snapshot is to be saved before Entries, if not nil; the state machine
-	// is to be set to it.
+	// Snapshot, if not nil, must be saved before Entries and restored into the
+	// state machine.
 	Snapshot *Snapshot
-	// Entries are to be appended and synced; the first may overwrite a tail.
+	// Entries must be appended and synced. The first may overwrite the tail of
+	// the stored log.
 	Entries []Entry
-	// Messages are to be sent after the sync.
+	// Messages must be sent after the sync.
 	Messages []Message
-	// Committed entries are to be applied in order.
+	// Committed entries must be applied in order.
 	Committed []Entry
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work.
 func (rd Ready) Empty() bool {
-	return len(rd.Early) == 0 && rd.Hard == nil && rd.Snapshot == nil &&
+	return len(rd.Immediate) == 0 && rd.Hard == nil && rd.Snapshot == nil &&
 		len(rd.Entries) == 0 && len(rd.Messages) == 0 && len(rd.Committed) == 0
 }
 
-// Role is what a member is at present.
+// Role is the current Raft role of a member.
 type Role string
 
-// The roles of a member.
+// Member roles.
 const (
 	Follower     Role = "follower"
 	PreCandidate Role = "preCandidate"
@@ -166,7 +171,7 @@
 	Leader       Role = "leader"
 )
 
-// Status is a member's own account of itself.
+// Status is the state of a member as it sees itself.
 type Status struct {
 	ID       string            `json:"id"`
 	Role     Role              `json:"role"`
@@ -177,6 +182,6 @@
 	Last     uint64            `json:"last"`
 	Commit   uint64            `json:"commit"`
 	Progress map[string]uint64 `json:"progress,omitempty"`
-	// Voters are the present voters.
+	// Voters lists the ids of the current voters, sorted.
 	Voters []string `json:"voters"`
 }
