--- a/internal/state/wal/record.go
+++ b/internal/state/wal/record.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// headerBytes is the size of a record's length and checksum.
+	// headerBytes is the size of a record's header: its length and checksum.
 	headerBytes = 8
-	// maxRecordBytes bounds one record.
+	// maxRecordBytes bounds the size of one record.
 	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one line of the log file: either a hard state or an entry.
+// record is one record of the log file. One of its fields is set.
 type record struct {
 	Hard  *replica.HardState `json:"hard,omitempty"`
 	Entry *replica.Entry     `json:"entry,omitempty"`
-	// Commit says that the entries up to an index are committed.
+	// Commit is the commit index.
 	Commit uint64 `json:"commit,omitempty"`
 }
 
-// errTorn marks a record that was not written to its end.
+// errTorn means that a record is incomplete or its checksum is wrong.
 var errTorn = errors.New("torn record")
 
-// appendRecord appends the encoded record to buf.
+// appendRecord appends the encoded record to buf: length, CRC-32C checksum (both
+// 32-bit little-endian), JSON body.
 func appendRecord(buf []byte, rec any) ([]byte, error) {
 	body, err := json.Marshal(rec)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return append(buf, body...), nil
 }
 
-// readRecord reads one record's body. It returns io.EOF at a clean end and
-// errTorn where the record is cut short or its checksum is wrong.
+// readRecord reads the body of the next record. It returns io.EOF at the end of
+// the file, and errTorn if the record is incomplete or its checksum is wrong.
 func readRecord(rd *bufio.Reader) ([]byte, error) {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(rd, head[:]); err != nil {
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -1,16 +1,16 @@
-// Package wal keeps a member's hard state, log and snapshot in one data
-// folder. Nothing is acknowledged before it is synced. A torn tail, which a
-// crash in the middle of a write leaves, is cut off on opening; a damaged
-// record with whole records behind it is refused, since what follows it may
-// have been acknowledged.
+// Package wal stores a member's hard state, log and snapshot in one data folder.
+// All writes are synced before they return. Open truncates a torn record at the
+// end, which a crash in the middle of a write leaves. It refuses a damaged record
+// that valid records follow, since those may have been acknowledged.
 //
-// Files: LOCK, snapshot, and log-<hex index>, which starts behind that index.
+// Files: LOCK, snapshot, and log-<hex index>, which holds the entries after that
+// index.
 //
 // Usage:
 //
 //	err := wal.Format(dir, false)          // once, when the cluster is created
 //	lg, st, err := wal.Open(dir)           // an empty folder opens as a learner
-//	err = lg.Append(&hard, entries)        // one sync
+//	err = lg.Append(&hard, entries, commit) // one sync
 //	err = lg.SaveSnapshot(hard, snap, tail)
 package wal
 
@@ -32,10 +32,10 @@
 	"github.com/pkg/errors"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors.
+// Error kinds.
 const (
 	KindLocked  Kind = "data folder is in use by another process"
 	KindCorrupt Kind = "damaged record in the middle of the log"
@@ -54,14 +54,14 @@
 	fileMode     = 0o640
 )
 
-// State is what was read from a data folder.
+// State is the content of a data folder.
 type State struct {
 	Hard     replica.HardState
 	Snapshot replica.Snapshot
 	Entries  []replica.Entry
-	// Commit is the last index that was known to be committed.
+	// Commit is the last recorded commit index.
 	Commit uint64
-	// TornBytes were cut off the tail.
+	// TornBytes is the number of bytes truncated from the end of the log.
 	TornBytes int64
 }
 
@@ -71,25 +71,25 @@
 	lock *os.File
 	file *os.File
 	size int64
-	// commit is the last index noted as committed.
+	// commit is the last commit index written.
 	commit uint64
 }
 
-// Format prepares an empty folder as that of a voting member of a new
-// cluster, or of a learner.
+// Format creates the log of a voting member of a new cluster, or of a learner. It
+// returns KindExists if the folder already holds a log.
 func Format(dir string, learner bool) error {
 	return format(dir, replica.HardState{Learner: learner})
 }
 
-// FormatInitial prepares an empty folder as that of a voting member of a new
-// cluster with the given voters, which are kept with the log.
+// FormatInitial creates the log of a voting member of a new cluster and stores
+// the cluster's initial voters in it.
 func FormatInitial(dir string, voters []string) error {
 	return format(dir, replica.HardState{Initial: voters})
 }
 
 // Formatted reports whether the folder holds a log.
 func Formatted(dir string) (bool, error) {
-	name, err := newestLog(dir)
+	name, err := newestLogFile(dir)
 	return name != "", err
 }
 
@@ -97,7 +97,7 @@
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return &Error{Op: "format " + dir, Kind: KindIO, Err: err}
 	}
-	name, err := newestLog(dir)
+	name, err := newestLogFile(dir)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	return writeFile(dir, logName(0), []any{record{Hard: &hard}})
 }
 
-// Open locks and reads a data folder. An empty one becomes a learner's.
+// Open locks and reads a data folder. It formats an empty one for a learner.
 func Open(dir string) (*Log, State, error) {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return nil, State{}, &Error{Op: "open " + dir, Kind: KindIO, Err: err}
@@ -139,7 +139,7 @@
 }
 
 func (lg *Log) load() (State, error) {
-	name, err := newestLog(lg.dir)
+	name, err := newestLogFile(lg.dir)
 	if err != nil {
 		return State{}, err
 	}
@@ -163,7 +163,7 @@
 	return st, nil
 }
 
-// replay reads the log file and cuts off a torn tail.
+// replay reads the log file and truncates a torn record at its end.
 func (lg *Log) replay(st *State) error {
 	rd := bufio.NewReaderSize(lg.file, 1<<20)
 	for {
@@ -172,7 +172,7 @@
 			break
 		}
 		if errors.Is(err, errTorn) {
-			if err := lg.cutTail(st); err != nil {
+			if err := lg.truncateTornTail(st); err != nil {
 				return err
 			}
 			break
@@ -182,7 +182,7 @@
 			return &Error{Op: "decode record", Kind: KindCorrupt, Err: err}
 		}
 		lg.size += int64(headerBytes + len(body))
-		st.take(rec)
+		st.addRecord(rec)
 	}
 	if _, err := lg.file.Seek(lg.size, io.SeekStart); err != nil {
 		return &Error{Op: "seek", Kind: KindIO, Err: err}
@@ -190,7 +190,9 @@
 	return nil
 }
 
-func (st *State) take(rec record) {
+// addRecord applies a record of the log file. An entry replaces the entries from
+// its index on.
+func (st *State) addRecord(rec record) {
 	if rec.Hard != nil {
 		st.Hard = *rec.Hard
 	}
@@ -201,15 +203,15 @@
 	}
 	keep := ent.Index - st.Snapshot.Index - 1
 	if keep > uint64(len(st.Entries)) {
-		// A gap can only be what an installed snapshot has replaced.
+		// A gap holds only entries that an installed snapshot replaced.
 		return
 	}
 	st.Entries = append(st.Entries[:keep], *ent)
 }
 
-// cutTail removes what follows the last whole record, unless another whole
-// record can be found behind the damage.
-func (lg *Log) cutTail(st *State) error {
+// truncateTornTail truncates the file after the last valid record. It returns
+// KindCorrupt if another valid record follows the damage.
+func (lg *Log) truncateTornTail(st *State) error {
 	info, err := lg.file.Stat()
 	if err != nil {
 		return &Error{Op: "stat", Kind: KindIO, Err: err}
@@ -218,7 +220,7 @@
 	if _, err := lg.file.ReadAt(rest, lg.size); err != nil && !errors.Is(err, io.EOF) {
 		return &Error{Op: "read tail", Kind: KindIO, Err: err}
 	}
-	if wholeRecordInside(rest) {
+	if containsRecord(rest) {
 		return &Error{Op: fmt.Sprintf("read log at byte %d", lg.size), Kind: KindCorrupt}
 	}
 	st.TornBytes = int64(len(rest))
@@ -231,8 +233,8 @@
 	return nil
 }
 
-// wholeRecordInside looks for a record that starts after the first byte.
-func wholeRecordInside(rest []byte) bool {
+// containsRecord reports whether a valid record starts after the first byte.
+func containsRecord(rest []byte) bool {
 	for at := 1; at+headerBytes < len(rest); at++ {
 		if rest[at+headerBytes] != '{' {
 			continue
@@ -245,11 +247,11 @@
 	return false
 }
 
-// maxProbeBytes bounds the record that is looked for behind damage.
+// maxProbeBytes bounds the size of records that are searched for after damage.
 const maxProbeBytes = 1 << 20
 
-// Append writes the hard state (if not nil), the entries, and up to which index
-// entries are known to be committed, with one sync.
+// Append writes the hard state if not nil, the entries, and the commit index if it
+// is higher than the last one, with one sync.
 func (lg *Log) Append(hard *replica.HardState, entries []replica.Entry, commit uint64) error {
 	var buf []byte
 	var err error
@@ -280,7 +282,7 @@
 }
 
 // SaveSnapshot stores the snapshot and starts a new log file with the entries
-// behind it. A crash at any point leaves the old or the new state.
+// after it. After a crash at any point, Open finds the old or the new state.
 func (lg *Log) SaveSnapshot(hard replica.HardState, snap replica.Snapshot, tail []replica.Entry) error {
 	if err := writeFile(lg.dir, snapshotName, []any{snap}); err != nil {
 		return err
@@ -310,10 +312,10 @@
 	return nil
 }
 
-// Size returns the bytes of the current log file.
+// Size returns the size of the current log file in bytes.
 func (lg *Log) Size() int64 { return lg.size }
 
-// Close releases the folder.
+// Close closes the log file and unlocks the folder.
 func (lg *Log) Close() error {
 	err := lg.file.Close()
 	if lockErr := lg.lock.Close(); err == nil {
@@ -324,7 +326,9 @@
 
 func logName(index uint64) string { return fmt.Sprintf("%s%016x", logPrefix, index) }
 
-func newestLog(dir string) (string, error) {
+// newestLogFile returns the name of the log file with the highest index, "" if
+// there is none.
+func newestLogFile(dir string) (string, error) {
 	names, err := filepath.Glob(filepath.Join(dir, logPrefix+"????????????????"))
 	if err != nil || len(names) == 0 {
 		return "", err
@@ -353,8 +357,8 @@
 	return snap, nil
 }
 
-// writeFile writes records to a temporary file, syncs it, gives it its name
-// and syncs the folder.
+// writeFile atomically replaces a file: it writes and syncs a temporary file,
+// renames it and syncs the folder.
 func writeFile(dir, name string, records []any) error {
 	var buf []byte
 	var err error
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -20,8 +20,8 @@
 	return list
 }
 
-// filled returns a folder with a hard state and five entries, closed.
-func filled(t *testing.T) string {
+// newFilledFolder returns a closed data folder with a hard state and five entries.
+func newFilledFolder(t *testing.T) string {
 	dir := t.TempDir()
 	require.NoError(t, Format(dir, false))
 	lg, st, err := Open(dir)
@@ -33,8 +33,8 @@
 	return dir
 }
 
-func TestReopenHasEverything(t *testing.T) {
-	dir := filled(t)
+func TestReopenReadsHardStateAndEntries(t *testing.T) {
+	dir := newFilledFolder(t)
 	lg, st, err := Open(dir)
 	require.NoError(t, err)
 	defer lg.Close()
@@ -44,15 +44,15 @@
 	require.Equal(t, entries(1, 5), st.Entries)
 }
 
-// TestCommitIsRemembered lets a restart apply what was committed before it
-// hears from anybody.
-func TestCommitIsRemembered(t *testing.T) {
-	dir := filled(t)
+// TestCommitIndexSurvivesRestart checks that the commit index is restored, so that
+// a restart can apply committed entries before it contacts other members.
+func TestCommitIndexSurvivesRestart(t *testing.T) {
+	dir := newFilledFolder(t)
 	lg, st, err := Open(dir)
 	require.NoError(t, err)
 	require.Zero(t, st.Commit)
 	require.NoError(t, lg.Append(nil, entries(6, 7), 5))
-	require.NoError(t, lg.Append(nil, entries(8, 8), 3), "an older word changes nothing")
+	require.NoError(t, lg.Append(nil, entries(8, 8), 3), "a lower commit index is ignored")
 	require.NoError(t, lg.Close())
 	lg, st, err = Open(dir)
 	require.NoError(t, err)
@@ -75,8 +75,8 @@
 	require.True(t, errkind.Is(Format(dir, false), KindExists))
 }
 
-func TestSecondProcessIsRefused(t *testing.T) {
-	dir := filled(t)
+func TestSecondOpenIsRefused(t *testing.T) {
+	dir := newFilledFolder(t)
 	lg, _, err := Open(dir)
 	require.NoError(t, err)
 	defer lg.Close()
@@ -85,7 +85,7 @@
 }
 
 func TestOverwrittenTail(t *testing.T) {
-	dir := filled(t)
+	dir := newFilledFolder(t)
 	lg, _, err := Open(dir)
 	require.NoError(t, err)
 	replaced := replica.Entry{Index: 3, Term: 2, Kind: replica.EntryNoop}
@@ -97,22 +97,22 @@
 	require.Equal(t, append(entries(1, 2), replaced), st.Entries)
 }
 
-func TestDamage(t *testing.T) {
+func TestDamagedLog(t *testing.T) {
 	cases := []struct {
 		name   string
 		damage func(body []byte) []byte
-		kept   int // entries that survive; -1 for a refusal
+		kept   int // number of entries read; -1 if Open must fail
 	}{
 		{"last byte missing", func(body []byte) []byte { return body[:len(body)-1] }, 4},
 		{"half of the last header", func(body []byte) []byte { return append(body, 9, 0, 0) }, 5},
-		{"zeros behind the end", func(body []byte) []byte { return append(body, make([]byte, 512)...) }, 5},
+		{"zeros after the end", func(body []byte) []byte { return append(body, make([]byte, 512)...) }, 5},
 		{"last byte flipped", func(body []byte) []byte { body[len(body)-2] ^= 1; return body }, 4},
 		{"byte in the middle flipped", func(body []byte) []byte { body[len(body)/2] ^= 1; return body }, -1},
 		{"length in the middle wrong", func(body []byte) []byte { body[1] ^= 1; return body }, -1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			dir := filled(t)
+			dir := newFilledFolder(t)
 			path := filepath.Join(dir, logName(0))
 			body, err := os.ReadFile(path)
 			require.NoError(t, err)
@@ -126,7 +126,7 @@
 			require.Equal(t, entries(1, uint64(tc.kept)), st.Entries)
 			info, err := os.Stat(path)
 			require.NoError(t, err)
-			require.Equal(t, lg.Size(), info.Size(), "nothing is left behind the last record")
+			require.Equal(t, lg.Size(), info.Size(), "the file ends with the last record")
 			require.NoError(t, lg.Append(nil, entries(uint64(tc.kept)+1, uint64(tc.kept)+1), 0))
 			require.NoError(t, lg.Close())
 			lg, st, err = Open(dir)
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestCrashBetweenSnapshotFiles leaves the folder as a crash between the
-// snapshot and the new log file does.
+// TestCrashBetweenSnapshotFiles opens a folder as a crash in SaveSnapshot leaves
+// it, with the new snapshot but the old log file.
 func TestCrashBetweenSnapshotFiles(t *testing.T) {
-	dir := filled(t)
+	dir := newFilledFolder(t)
 	require.NoError(t, writeFile(dir, snapshotName, []any{replica.Snapshot{Index: 3, Term: 1, Data: []byte("state")}}))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, logName(3)+".tmp"), []byte("half"), fileMode))
 	lg, st, err := Open(dir)
@@ -152,7 +152,7 @@
 }
 
 func TestSnapshotKeepsTail(t *testing.T) {
-	dir := filled(t)
+	dir := newFilledFolder(t)
 	lg, st, err := Open(dir)
 	require.NoError(t, err)
 	snap := replica.Snapshot{Index: 4, Term: 1, Data: []byte("state")}
