--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -1,5 +1,5 @@
-// Package links keeps the links from a process to the processes that hold the
-// replicated log. The set may grow while it runs.
+// Package links maintains the connections from a process to the processes that
+// hold a replica of the replicated log. Processes can be added while it runs.
 //
 // Usage:
 //
@@ -23,32 +23,32 @@
 	"github.com/go-kit/log"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindNoPeer says that no such process is known.
+// KindNoPeer means that the process was never added.
 const KindNoPeer Kind = "no such process"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// ringSlots bounds the messages that wait to be sent to one member; with
-// entries of some kilobytes it is a few megabytes.
-const ringSlots = 2048
+// raftQueueSize bounds the Raft messages queued for one member. With entries of
+// some kilobytes, a full queue takes a few megabytes.
+const raftQueueSize = 2048
 
-// beatEvery is the time between heartbeats of a link: two fit into the time
-// after which a link counts as silent. With 45 entry instances and five
-// members, beats are a sixth of all that a follower handles.
-const beatEvery = peer.LinkTimeout / 2
+// heartbeatInterval is the time between two heartbeats of a link. Two fit into the
+// link timeout. With 45 entry instances and five members, heartbeats are a sixth
+// of all messages that a follower handles.
+const heartbeatInterval = peer.LinkTimeout / 2
 
-// Links are the links to the other processes. Set the exported fields before
-// Run.
+// Links holds the connections to the other processes. Set the exported fields
+// before Run.
 type Links struct {
 	Self   peer.Identity
 	Token  string
 	Addrs  map[string]string
 	Logger log.Logger
-	// NoRaft leaves out the links for the log's messages.
+	// NoRaft disables the connections for Raft messages.
 	NoRaft bool
 
 	mu      sync.RWMutex
@@ -57,18 +57,18 @@
 	running sync.WaitGroup
 }
 
-// member is one other process; raft messages have a link of their own, so
-// that a forwarded request does not delay them.
+// member is one other process. Raft messages use a separate connection, so that
+// forwarded requests do not delay them.
 type member struct {
-	raft  *peer.Client
-	calls *peer.Client
-	ring  chan replica.Message
+	raft      *peer.Client
+	calls     *peer.Client
+	raftQueue chan replica.Message
 }
 
-// String is the step's name in logs.
+// String returns the name of the step in logs.
 func (ls *Links) String() string { return "member links" }
 
-// Default builds the links that are known from the start.
+// Default adds the processes in Addrs.
 func (ls *Links) Default() error {
 	if ls.members == nil {
 		ls.members = map[string]*member{}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// Run keeps the links up.
+// Run keeps the connections up until the context ends.
 func (ls *Links) Run(ctx context.Context) error {
 	ls.mu.Lock()
 	ls.ctx = ctx
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// Add makes another process known; it does nothing for a known one.
+// Add adds a process and connects to it if Run is active. It does nothing for
+// this process itself or one that was added before.
 func (ls *Links) Add(id, addr string) {
 	if id == ls.Self.ID {
 		return
@@ -106,11 +107,11 @@
 		return
 	}
 	mb := &member{
-		calls: &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery},
-		ring:  make(chan replica.Message, ringSlots),
+		calls:     &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: heartbeatInterval},
+		raftQueue: make(chan replica.Message, raftQueueSize),
 	}
 	if !ls.NoRaft {
-		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: beatEvery}
+		mb.raft = &peer.Client{Addr: addr, Token: ls.Token, Self: ls.Self, HeartbeatInterval: heartbeatInterval}
 	}
 	ls.members[id] = mb
 	if ls.ctx != nil && ls.ctx.Err() == nil {
@@ -118,7 +119,7 @@
 	}
 }
 
-// start runs with the lock held.
+// start connects to a member. The caller holds the lock.
 func (ls *Links) start(mb *member) {
 	ctx := ls.ctx
 	ls.running.Go(func() { _ = mb.calls.Run(ctx) })
@@ -128,7 +129,7 @@
 	}
 }
 
-// Ready reports whether the link to a process is up.
+// Ready reports whether the connection for calls to a process is up.
 func (ls *Links) Ready(id string) bool {
 	mb := ls.member(id)
 	return mb != nil && mb.calls.Connected()
@@ -140,20 +141,22 @@
 	return ls.members[id]
 }
 
-// Send hands a raft message to the sender; it drops it when too many wait.
+// Send queues a Raft message. It drops the message if the queue is full or the
+// receiver is unknown.
 func (ls *Links) Send(msg replica.Message) {
 	mb := ls.member(msg.To)
 	if mb == nil {
 		return
 	}
 	select {
-	case mb.ring <- msg:
+	case mb.raftQueue <- msg:
 	default:
 		metrics.GetOrCreateCounter("weir_log_sends_dropped_total").Inc()
 	}
 }
 
-// Call calls a method at another process.
+// Call calls a method of another process. It returns KindNoPeer if the process
+// is unknown.
 func (ls *Links) Call(ctx context.Context, id, method string, params, result any) error {
 	mb := ls.member(id)
 	if mb == nil {
@@ -162,13 +165,13 @@
 	return mb.calls.Call(ctx, method, params, result)
 }
 
-// sendRaft sends the raft messages for one member in order.
+// sendRaft sends the queued Raft messages in order.
 func (mb *member) sendRaft(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case msg := <-mb.ring:
+		case msg := <-mb.raftQueue:
 			_ = mb.raft.Notify(ctx, peerapi.RaftMessage, msg)
 		}
 	}
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -1,12 +1,13 @@
-// Package roster finds the processes of the system from a few seeds, and lets
-// a leader keep the set of voters at its size: a voter that does not answer is
-// replaced by a spare that holds the whole log, one member at a time.
+// Package roster discovers the processes that hold a replica of the replicated
+// log, starting from a few seeds. At the leader it also keeps the set of voters
+// at its configured size: it replaces an unreachable voter by a caught-up
+// non-voter, one membership change at a time.
 //
 // Usage:
 //
-//	ro := &roster.Roster{Self: id, Holder: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
+//	ro := &roster.Roster{Self: id, HoldsLog: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
 //	go ro.Run(ctx)
-//	listing := ro.Answer(introduction) // to jobapi.Directory
+//	rep := ro.HandleIntroduction(req) // handles jobapi.DirectoryMethod
 package roster
 
 import (
@@ -24,87 +25,89 @@
 )
 
 const (
-	// askFast and askSlow separate questions to one process, before and after
-	// a leader is known.
-	askFast = 150 * time.Millisecond
-	askSlow = 1500 * time.Millisecond
-	// askTimeout is how long an answer may take.
-	askTimeout = 700 * time.Millisecond
-	// voterSilence is how long a voter may be silent before a spare takes its
-	// place: longer than a short freeze, shorter than most repairs.
-	voterSilence = 2 * time.Second
-	// changePause separates changes of the set of voters.
-	changePause = 300 * time.Millisecond
+	// fastQueryInterval and slowQueryInterval are the times between two directory
+	// queries, before and after a leader is known.
+	fastQueryInterval = 150 * time.Millisecond
+	slowQueryInterval = 1500 * time.Millisecond
+	// queryTimeout is the deadline of a directory query.
+	queryTimeout = 700 * time.Millisecond
+	// voterTimeout is the time since the last contact after which a voter is
+	// replaced: longer than a short pause, shorter than most repairs.
+	voterTimeout = 2 * time.Second
+	// voterChangeInterval is the minimum time between two membership changes.
+	voterChangeInterval = 300 * time.Millisecond
 )
 
-// Log is what a roster needs of the replicated log.
+// Log is the replicated log as the roster uses it.
 type Log interface {
-	WithCore(ctx context.Context, ask func(now time.Time, core *replica.Core)) error
+	WithCore(ctx context.Context, fn func(now time.Time, core *replica.Core)) error
 	LeaderID() string
 	Term() uint64
 }
 
-// Roster keeps the directory. Set the exported fields before Run.
+// Roster is the directory of known replicas. Set the exported fields before Run.
 type Roster struct {
-	// Self is this process's id, which is also its address for others.
+	// Self is this process's id, which is also its peer address.
 	Self string
-	// HoldsLog says that this process holds the log.
+	// HoldsLog is set if this process holds a replica of the log.
 	HoldsLog bool
 	Seeds    []string
 	Links    *links.Links
-	// Log is nil where this process does not hold it.
+	// Log is nil if this process holds no replica.
 	Log Log
-	// Voters is how many voters there should be.
+	// Voters is the target number of voters.
 	Voters int
 	Logger log.Logger
 
-	mu      sync.Mutex
-	holders map[string]bool
-	leader  string
+	mu       sync.Mutex
+	replicas map[string]bool
+	leader   string
 }
 
-// String is the step's name in logs.
+// String returns the name of the step in logs.
 func (ro *Roster) String() string { return "roster" }
 
-// Default makes the seeds known.
+// Default adds the seeds to the directory.
 func (ro *Roster) Default() error {
-	ro.holders = map[string]bool{}
+	ro.replicas = map[string]bool{}
 	if ro.HoldsLog {
-		ro.holders[ro.Self] = true
+		ro.replicas[ro.Self] = true
 	}
 	for _, id := range ro.Seeds {
-		ro.learn(id)
+		ro.addReplica(id)
 	}
 	return nil
 }
 
-// learn runs before Run or with the lock held.
-func (ro *Roster) learn(id string) {
-	if id == "" || ro.holders[id] {
+// addReplica adds a process and connects to it. The caller holds the lock or
+// has not called Run yet.
+func (ro *Roster) addReplica(id string) {
+	if id == "" || ro.replicas[id] {
 		return
 	}
-	ro.holders[id] = true
+	ro.replicas[id] = true
 	ro.Links.Add(id, id)
-	_ = ro.Logger.Log("level", "info", "msg", "process found", "peer", id)
+	_ = ro.Logger.Log("level", "info", "msg", "replica discovered", "peer", id)
 }
 
-// AddSeeds makes further seeds known.
+// AddSeeds adds further seeds to the directory.
 func (ro *Roster) AddSeeds(seeds []string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for _, id := range seeds {
-		ro.learn(id)
+		ro.addReplica(id)
 	}
 }
 
-// Holders returns the known holders of the log, sorted.
+// Holders returns the ids of the known processes that hold a replica of the log,
+// sorted.
 func (ro *Roster) Holders() []string {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	return slices.Sorted(maps.Keys(ro.holders))
+	return slices.Sorted(maps.Keys(ro.replicas))
 }
 
-// Leader returns the holder that led when last asked.
+// Leader returns the id of the last known leader, "" if none is known.
 func (ro *Roster) Leader() string {
 	if ro.Log != nil {
 		return ro.Log.LeaderID()
@@ -114,39 +117,41 @@
 	return ro.leader
 }
 
-// SetLeader notes who answered as the leader.
+// SetLeader records the leader that a response named or came from.
 func (ro *Roster) SetLeader(id string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	ro.leader = id
 }
 
-// HandleIntroduction answers another process's question and learns of it.
+// HandleIntroduction returns the directory to another process, and adds that
+// process if it holds a replica.
 func (ro *Roster) HandleIntroduction(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
 	if in.Replica {
-		ro.learn(in.ID)
+		ro.addReplica(in.ID)
 	}
-	list := jobapi.DirectoryReply{Replicas: slices.Sorted(maps.Keys(ro.holders))}
+	list := jobapi.DirectoryReply{Replicas: slices.Sorted(maps.Keys(ro.replicas))}
 	ro.mu.Unlock()
 	list.Leader = ro.Leader()
 	return list
 }
 
-// Run asks and, at a leader, mends the set of voters, until the context ends.
+// Run queries the known replicas for their directory and, at the leader,
+// reconciles the set of voters, until the context ends.
 func (ro *Roster) Run(ctx context.Context) error {
 	var changed time.Time
 	for ctx.Err() == nil {
-		ro.askAll(ctx)
+		ro.queryAll(ctx)
 		if ro.Log != nil && ro.Log.Term() != 0 {
-			changed = ro.mend(ctx, changed)
+			changed = ro.reconcileVoters(ctx, changed)
 		}
-		pause := askFast
+		pause := fastQueryInterval
 		if ro.Leader() != "" {
-			pause = askSlow
+			pause = slowQueryInterval
 		}
 		if ro.Log != nil && ro.Log.Term() != 0 {
-			pause = changePause
+			pause = voterChangeInterval
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -158,67 +163,71 @@
 	return nil
 }
 
-func (ro *Roster) askAll(ctx context.Context) {
+func (ro *Roster) queryAll(ctx context.Context) {
 	if ro.Log != nil && ro.Log.Term() != 0 {
-		// A leader is asked by the others; that is how it learns of them.
+		// The other processes query the leader, which adds them to its directory.
 		return
 	}
 	var wg sync.WaitGroup
 	for _, id := range ro.Holders() {
 		if id != ro.Self && ro.Links.Ready(id) {
-			wg.Go(func() { ro.ask(ctx, id) })
+			wg.Go(func() { ro.query(ctx, id) })
 		}
 	}
 	wg.Wait()
 }
 
-func (ro *Roster) ask(ctx context.Context, id string) {
-	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+func (ro *Roster) query(ctx context.Context, id string) {
+	callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var list jobapi.DirectoryReply
 	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
-		_ = ro.Logger.Log("level", "debug", "msg", "directory not answered", "peer", id, "err", err)
+		_ = ro.Logger.Log("level", "debug", "msg", "directory query failed", "peer", id, "err", err)
 		return
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for _, holder := range list.Replicas {
-		ro.learn(holder)
+	for _, other := range list.Replicas {
+		ro.addReplica(other)
 	}
 	if list.Leader != "" {
 		ro.leader = list.Leader
 	}
 }
 
-// mend adds spares to the log and changes the set of voters where it should.
-func (ro *Roster) mend(ctx context.Context, changed time.Time) time.Time {
-	holders := ro.Holders()
+// reconcileVoters makes the leader replicate to all known processes and proposes
+// the next membership change, if one is due. It returns the time of the last
+// change.
+func (ro *Roster) reconcileVoters(ctx context.Context, changed time.Time) time.Time {
+	replicas := ro.Holders()
 	err := ro.Log.WithCore(ctx, func(now time.Time, core *replica.Core) {
-		for _, id := range holders {
+		for _, id := range replicas {
 			core.AddNonVoter(now, id)
 		}
-		if now.Sub(changed) < changePause {
+		if now.Sub(changed) < voterChangeInterval {
 			return
 		}
 		st := core.Status()
-		next, reason := Next(st.ID, core.MembersAt(st.Last).Voters, ro.candidates(core, holders), core.SinceLastContact(now), ro.Voters)
+		next, reason := NextVoters(st.ID, core.MembersAt(st.Last).Voters, ro.caughtUpNonVoters(core, replicas), core.SinceLastContact(now), ro.Voters)
 		if next == nil {
 			return
 		}
 		changed = now
 		err := core.ChangeMembers(now, next)
-		_ = ro.Logger.Log("level", "info", "msg", "change of voters", "reason", reason,
+		_ = ro.Logger.Log("level", "info", "msg", "voter change proposed", "reason", reason,
 			"voters", slices.Sorted(maps.Keys(next)), "err", err)
 	})
 	if err != nil {
-		_ = ro.Logger.Log("level", "debug", "msg", "log not asked", "err", err)
+		_ = ro.Logger.Log("level", "debug", "msg", "voter check failed", "err", err)
 	}
 	return changed
 }
 
-func (ro *Roster) candidates(core *replica.Core, holders []string) map[string]string {
+// caughtUpNonVoters returns the non-voters that may become voters, with their
+// disks.
+func (ro *Roster) caughtUpNonVoters(core *replica.Core, replicas []string) map[string]string {
 	ready := map[string]string{}
-	for _, id := range holders {
+	for _, id := range replicas {
 		if disk, ok := core.CaughtUpNonVoter(id); ok {
 			ready[id] = disk
 		}
@@ -226,39 +235,39 @@
 	return ready
 }
 
-// Next returns the set of voters that should follow, nil where the present one
-// should stay. It first adds a spare that answers and holds the whole log,
-// then removes a voter that is silent, so that the set never gets smaller than
-// it should be while a spare is there. Spares map to their disks; silence
-// tells how long a process has not answered its leader.
-func Next(leader string, voters, spares map[string]string, silence map[string]time.Duration, want int) (map[string]string, string) {
-	silent := ""
+// NextVoters returns the next set of voters and the reason of the change, nil if
+// the current set should stay. It first adds a caught-up non-voter and then
+// removes an unreachable voter, so that the set does not shrink below its target
+// size while a non-voter is available. nonVoters maps ids to disks; sinceContact
+// is the time since each process last replied to the leader.
+func NextVoters(leader string, voters, nonVoters map[string]string, sinceContact map[string]time.Duration, want int) (map[string]string, string) {
+	unreachable := ""
 	for _, id := range slices.Sorted(maps.Keys(voters)) {
-		if id != leader && silence[id] > voterSilence && (silent == "" || silence[id] > silence[silent]) {
-			silent = id
+		if id != leader && sinceContact[id] > voterTimeout && (unreachable == "" || sinceContact[id] > sinceContact[unreachable]) {
+			unreachable = id
 		}
 	}
 	if len(voters) > want {
 		out := maps.Clone(voters)
-		drop := silent
-		if drop == "" {
+		removed := unreachable
+		if removed == "" {
 			for id := range voters {
-				if id != leader && (drop == "" || id > drop) {
-					drop = id
+				if id != leader && (removed == "" || id > removed) {
+					removed = id
 				}
 			}
 		}
-		delete(out, drop)
+		delete(out, removed)
 		return out, "more voters than wanted"
 	}
-	if len(voters) == want && silent == "" {
+	if len(voters) == want && unreachable == "" {
 		return nil, ""
 	}
-	for _, id := range slices.Sorted(maps.Keys(spares)) {
-		if silence[id] <= voterSilence/4 {
+	for _, id := range slices.Sorted(maps.Keys(nonVoters)) {
+		if sinceContact[id] <= voterTimeout/4 {
 			out := maps.Clone(voters)
-			out[id] = spares[id]
-			return out, "a spare takes part"
+			out[id] = nonVoters[id]
+			return out, "non-voter promoted"
 		}
 	}
 	return nil, ""
