--- a/internal/duty/auth/access.go
+++ b/internal/duty/auth/auth.go
@@ -1,11 +1,11 @@
-// Package access checks who calls: operators by bearer token, each with a
-// name, from a token file with lines of "name token".
+// Package auth authenticates operators by bearer token. The names and tokens come
+// from a file with lines of the form "name token".
 //
 // Usage:
 //
-//	ops, err := access.Load("operators.tokens")
+//	ops, err := auth.Load("operators.tokens")
 //	ech.Use(ops.Middleware)
-//	name := access.Operator(ctx)
+//	name := auth.Operator(ctx)
 package auth
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors.
+// Error kinds.
 const (
 	KindRead  Kind = "cannot read token file"
 	KindShort Kind = "a token needs at least 16 characters"
@@ -36,15 +36,16 @@
 const (
 	minTokenLength = 16
 	operatorKey    = "operator"
-	bearer         = "Bearer "
+	bearerPrefix   = "Bearer "
 )
 
-// Operators are the operators' names and tokens.
+// Operators is the set of operators that may call.
 type Operators struct {
+	// tokens maps operators' names to their tokens.
 	tokens map[string]string
 }
 
-// Load reads a token file. Empty lines and lines with # are skipped.
+// Load reads a token file. It skips empty lines and lines that start with #.
 func Load(path string) (*Operators, error) {
 	body, err := os.ReadFile(filepath.Clean(path))
 	if err != nil {
@@ -68,7 +69,7 @@
 	return op, nil
 }
 
-// LoadToken reads a file that holds one token.
+// LoadToken reads a file that holds a single token.
 func LoadToken(path string) (string, error) {
 	body, err := os.ReadFile(filepath.Clean(path))
 	if err != nil {
@@ -81,9 +82,10 @@
 	return token, nil
 }
 
-// name returns the operator with a token. All tokens are compared, so that
-// the time taken tells nothing.
-func (op *Operators) name(token string) string {
+// lookup returns the name of the operator with the token, "" if there is none. It
+// compares all tokens in constant time, so that the timing reveals nothing about
+// them.
+func (op *Operators) lookup(token string) string {
 	found := ""
 	for name, want := range op.tokens {
 		if subtle.ConstantTimeCompare([]byte(token), []byte(want)) == 1 {
@@ -93,11 +95,11 @@
 	return found
 }
 
-// Middleware refuses requests without a known token.
+// Middleware responds with 401 to requests without a known bearer token.
 func (op *Operators) Middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(ctx echo.Context) error {
-		token, ok := strings.CutPrefix(ctx.Request().Header.Get(echo.HeaderAuthorization), bearer)
-		name := op.name(token)
+		token, ok := strings.CutPrefix(ctx.Request().Header.Get(echo.HeaderAuthorization), bearerPrefix)
+		name := op.lookup(token)
 		if !ok || name == "" {
 			return echo.NewHTTPError(http.StatusUnauthorized, "an operator's token is needed")
 		}
@@ -106,7 +108,7 @@
 	}
 }
 
-// Operator returns the name of the operator who calls.
+// Operator returns the name of the authenticated operator, "" without Middleware.
 func Operator(ctx echo.Context) string {
 	name, _ := ctx.Get(operatorKey).(string)
 	return name
--- a/internal/duty/cli/cli.go
+++ b/internal/duty/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli builds the command line of the programs: subcommands, flags
-// with environment variables, version and shell completion.
+// Package cli parses the command lines of the programs: subcommands, flags with
+// environment variables, version and shell completion.
 //
 // Usage:
 //
@@ -14,29 +14,30 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Version is set by the linker.
+// Version is the version of the program. The linker sets it (-X).
 var Version = "dev"
 
-// Command is one subcommand; Data holds its flags and its Execute method.
+// Command is one subcommand.
 type Command struct {
 	Name  string
 	Short string
-	Data  any
-	Sub   []Command
+	// Data is a struct with the flags and an Execute method, nil for a group.
+	Data any
+	Sub  []Command
 }
 
-// The exit statuses of the programs.
+// Exit statuses.
 const (
 	exitOK    = 0
 	exitError = 1
 	exitUsage = 2
 )
 
-type global struct {
+type globalOptions struct {
 	Version bool `long:"version" description:"Print the version and exit"`
 }
 
-// completion prints a script for the shell.
+// completion prints a completion script for bash.
 type completion struct {
 	program string
 }
@@ -49,19 +50,19 @@
 
 // Run parses the command line, executes the subcommand and returns the exit
 // status.
-func Run(program, about string, commands []Command) int {
-	opts := &global{}
+func Run(program, description string, commands []Command) int {
+	opts := &globalOptions{}
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = about
+	parser.LongDescription = description
 	parser.SubcommandsOptional = true
 	if _, err := parser.AddGroup("Options", "", opts); err != nil {
-		return fail(err)
+		return printError(err)
 	}
 	commands = append(commands, Command{
 		Name: "completion", Short: "Print a completion script for bash", Data: &completion{program: program},
 	})
-	if err := add(parser.Command, commands); err != nil {
-		return fail(err)
+	if err := addCommands(parser.Command, commands); err != nil {
+		return printError(err)
 	}
 	_, err := parser.Parse()
 	if err == nil && opts.Version {
@@ -72,10 +73,10 @@
 		parser.WriteHelp(os.Stderr)
 		return exitUsage
 	}
-	return exitOf(err)
+	return exitStatus(err)
 }
 
-func add(parent *flags.Command, commands []Command) error {
+func addCommands(parent *flags.Command, commands []Command) error {
 	for _, cm := range commands {
 		data := cm.Data
 		if data == nil {
@@ -85,20 +86,21 @@
 		if err != nil {
 			return err
 		}
-		if err := add(sub, cm.Sub); err != nil {
+		if err := addCommands(sub, cm.Sub); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func exitOf(err error) int {
+// exitStatus prints the error, if any, and returns the exit status.
+func exitStatus(err error) int {
 	if err == nil {
 		return exitOK
 	}
-	usage, ok := err.(*flags.Error) //nolint:errorlint // the library returns it bare
+	usage, ok := err.(*flags.Error) //nolint:errorlint // the library returns it unwrapped
 	if !ok {
-		return fail(err)
+		return printError(err)
 	}
 	if usage.Type == flags.ErrHelp {
 		fmt.Println(usage.Message)
@@ -108,7 +110,8 @@
 	return exitUsage
 }
 
-func fail(err error) int {
+// printError prints the error to stderr and returns the exit status.
+func printError(err error) int {
 	fmt.Fprintln(os.Stderr, "error:", err)
 	return exitError
 }
--- a/internal/duty/clock/clock.go
+++ b/internal/duty/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the one place under internal that reads the wall clock.
+// Package clock provides the clocks of the system. It is the only package under
+// internal that reads the wall clock.
 //
 // Usage:
 //
@@ -12,46 +13,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// origin is the start of the process, with a monotonic reading.
-var origin = time.Now()
+// processStart is the start time of the process, with a monotonic reading.
+var processStart = time.Now()
 
-// System is the clock of the machine. Its wall time is that of the start of
-// the process plus the monotonic time since, so that a step of the machine's
-// clock does not reach decisions.
+// System returns the wall time of the process start plus the monotonic time
+// since, so that steps of the machine's clock do not affect decisions.
 type System struct{}
 
-// Now returns the present time.
-func (System) Now() time.Time { return origin.Add(time.Since(origin)) }
+// Now returns the current time.
+func (System) Now() time.Time { return processStart.Add(time.Since(processStart)) }
 
-// BootTime counts the time since the machine started, also while it stood still.
-// It does not tell the time of day.
+// BootTime returns the time since the machine booted (CLOCK_BOOTTIME), which also
+// advances while the machine is suspended. It is not the time of day.
 type BootTime struct{}
 
-// Now returns the time since the machine's start as a time after 1970.
+// Now returns the time since boot as a time since the Unix epoch.
 func (BootTime) Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return origin.Add(time.Since(origin))
+		return processStart.Add(time.Since(processStart))
 	}
 	return time.Unix(ts.Sec, ts.Nsec)
 }
 
-// Wall is the machine's time of day, with all its steps.
+// Wall returns the machine's time of day, including any steps of its clock.
 type Wall struct{}
 
 // Now returns the time of day.
 func (Wall) Now() time.Time { return time.Now().Round(0) }
 
-// Manual is a clock that tests move by hand.
+// Manual is a clock for tests that only Advance moves.
 type Manual struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// NewManual returns a clock that stands at the given time.
+// NewManual returns a clock set to the given time.
 func NewManual(now time.Time) *Manual { return &Manual{now: now} }
 
-// Now returns the time the clock stands at.
+// Now returns the time that the clock is set to.
 func (mc *Manual) Now() time.Time {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
--- a/internal/duty/errkind/fault.go
+++ b/internal/duty/errkind/errkind.go
@@ -1,10 +1,10 @@
-// Package fault provides the shape that every package's error type has: the
-// operation that failed, a kind that callers can test, and the cause.
+// Package errkind provides the generic error type of all packages: the operation
+// that failed, a kind that callers can test for, and the cause.
 //
 // Usage:
 //
 //	type Kind string
-//	type Error = fault.Error[Kind]
+//	type Error = errkind.Error[Kind]
 //	return &Error{Op: "open", Kind: KindLocked, Err: err}
 package errkind
 
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Error is an error with an operation and a kind.
+// Error is an error with the failed operation, a kind and an optional cause.
 type Error[K ~string] struct {
 	Op   string
 	Kind K
--- a/internal/duty/invariant/invariant.go
+++ b/internal/duty/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts the promises of the system at the point of
-// decision. A violation is counted, logged and kept for the state dump; in
-// tests and soak runs it ends the process.
+// Package invariant checks the system's invariants where the code relies on them.
+// A violation is counted, logged and kept for the state dump. In tests and soak
+// runs it panics.
 //
 // Usage:
 //
@@ -16,22 +16,23 @@
 	"github.com/go-kit/log"
 )
 
-// FatalEnv is the environment variable that makes a violation fatal.
+// FatalEnv is the environment variable that makes violations panic if not empty.
 const FatalEnv = "WEIR_INVARIANTS_FATAL"
 
-const keptViolations = 32
+// maxRecorded bounds the violations kept for the state dump.
+const maxRecorded = 32
 
-// Violation is one broken invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Name   string `json:"name"`
 	Detail string `json:"detail"`
 }
 
 var (
-	mu     sync.Mutex
-	kept   []Violation
-	logger log.Logger = log.NewNopLogger()
-	fatal             = os.Getenv(FatalEnv) != ""
+	mu       sync.Mutex
+	recorded []Violation
+	logger   log.Logger = log.NewNopLogger()
+	fatal               = os.Getenv(FatalEnv) != ""
 )
 
 // SetLogger sets where violations are logged.
@@ -41,7 +42,8 @@
 	logger = lg
 }
 
-// Check records a violation of the named invariant unless ok holds.
+// Check records a violation of the named invariant if ok is false. keyvals are
+// added to the log line and to the violation's detail.
 func Check(ok bool, name string, keyvals ...any) {
 	if ok {
 		return
@@ -49,8 +51,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`weir_invariant_violations_total{name=%q}`, name)).Inc()
 	mu.Lock()
 	defer mu.Unlock()
-	if len(kept) < keptViolations {
-		kept = append(kept, Violation{Name: name, Detail: fmt.Sprint(keyvals...)})
+	if len(recorded) < maxRecorded {
+		recorded = append(recorded, Violation{Name: name, Detail: fmt.Sprint(keyvals...)})
 	}
 	_ = logger.Log(append([]any{"level", "error", "msg", "invariant violated", "invariant", name}, keyvals...)...)
 	if fatal {
@@ -58,9 +60,10 @@
 	}
 }
 
-// Violations returns the first violations seen by this process.
+// Violations returns the first violations in this process, up to
+// maxRecorded.
 func Violations() []Violation {
 	mu.Lock()
 	defer mu.Unlock()
-	return append([]Violation{}, kept...)
+	return append([]Violation{}, recorded...)
 }
--- a/internal/duty/logging/async.go
+++ b/internal/duty/logging/async.go
@@ -6,17 +6,17 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// asyncLines bounds the lines that wait to be written: some seconds of a busy
-// process, and under a few megabytes.
-const asyncLines = 4096
+// queueSize bounds the lines that wait to be written: a few seconds of a busy
+// process's output, in less than a few megabytes.
+const queueSize = 4096
 
-// Async is a writer that never blocks: lines that find no room are counted and
-// dropped.
+// Async is a writer that never blocks. It drops and counts lines while its queue
+// is full.
 type Async struct{ lines chan []byte }
 
-// NewAsync starts writing to wr.
+// NewAsync returns an Async that writes to wr from a goroutine of its own.
 func NewAsync(wr io.Writer) *Async {
-	as := &Async{lines: make(chan []byte, asyncLines)}
+	as := &Async{lines: make(chan []byte, queueSize)}
 	go func() {
 		for line := range as.lines {
 			if _, err := wr.Write(line); err != nil {
@@ -27,7 +27,7 @@
 	return as
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It always reports success.
 func (as *Async) Write(line []byte) (int, error) {
 	select {
 	case as.lines <- append([]byte(nil), line...):
--- a/internal/duty/ops/listener.go
+++ b/internal/duty/ops/listener.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Listener is a step that serves HTTP at an address. After the context's end
-// it goes on for Linger, so that callers that were sent here still get
-// answers, and then lets what is in flight finish for at most Patience.
+// Listener is a step that serves HTTP on an address. When its context ends, it
+// keeps accepting requests for ShutdownDelay, so that callers that a load
+// balancer still sends here get responses. Then it gives requests in flight up
+// to ShutdownTimeout to finish.
 type Listener struct {
 	Name            string
 	Addr            string
@@ -20,7 +21,7 @@
 	lis net.Listener
 }
 
-// String is the step's name in logs.
+// String returns the name of the step in logs.
 func (ls *Listener) String() string { return ls.Name }
 
 // Default opens the listener.
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// Run serves until the context ends, and a little longer.
+// Run serves until ShutdownDelay after the context ends.
 func (ls *Listener) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -1,6 +1,6 @@
-// Package ops serves what every process offers its operators over HTTP:
-// health, readiness, metrics, log level and a dump of its state. Health and
-// readiness need no token, since the balancer asks for them.
+// Package ops provides the operators' HTTP server of a process: health, readiness,
+// metrics, log level and a state dump. Health and readiness need no token, since
+// load balancers query them.
 //
 // Usage:
 //
@@ -26,10 +26,10 @@
 	"github.com/labstack/echo/v4/middleware"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindListen says that the address cannot be listened on.
+// KindListen means that the server cannot listen on its address.
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
@@ -44,26 +44,26 @@
 	shutdownTimeout = 5 * time.Second
 )
 
-// Server is the operators' listener of a process. Set the exported fields
+// Server is the operators' HTTP server of a process. Set the exported fields
 // before Run.
 type Server struct {
 	Addr      string
 	Operators *auth.Operators
 	Level     *logging.Level
 	Version   string
-	// Dump returns the process's state; it must hold no secrets.
+	// Dump returns the process's state. It must not contain secrets.
 	Dump func() any
-	// Ready returns why the process is not ready, or nil.
+	// Ready returns nil if the process is ready, else the reason.
 	Ready func() error
-	// Routes adds routes that need an operator's token; it may be nil.
+	// Routes, if not nil, adds routes that need an operator's token.
 	Routes func(grp *echo.Group)
 
 	listener net.Listener
 	server   *http.Server
 }
 
-// dump is the frame of every state dump.
-type dump struct {
+// stateDump is the response body of /state. State is what Dump returns.
+type stateDump struct {
 	Version    string                `json:"version"`
 	Goroutines int                   `json:"goroutines"`
 	HeapBytes  uint64                `json:"heapBytes"`
@@ -72,10 +72,10 @@
 	State      any                   `json:"state"`
 }
 
-// String is the step's name in logs.
+// String returns the name of the step in logs.
 func (sv *Server) String() string { return "operators' server" }
 
-// Default opens the listener and sets the routes.
+// Default opens the listener and registers the routes.
 func (sv *Server) Default() error {
 	lis, err := net.Listen("tcp", sv.Addr)
 	if err != nil {
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// NewHTTPServer returns a server with bounds on headers and time.
+// NewHTTPServer returns a server with limits on header size and on the times to
+// read a request and to stay idle.
 func NewHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
@@ -94,7 +95,7 @@
 	}
 }
 
-// NewEcho returns a router without a banner.
+// NewEcho returns a router that prints no startup banner.
 func NewEcho() *echo.Echo {
 	ech := echo.New()
 	ech.HideBanner = true
@@ -135,7 +136,7 @@
 func (sv *Server) state(ctx echo.Context) error {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	return ctx.JSON(http.StatusOK, dump{
+	return ctx.JSON(http.StatusOK, stateDump{
 		Version: sv.Version, Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 		LogLevel: sv.Level.String(), Violations: invariant.Violations(), State: sv.Dump(),
 	})
@@ -146,9 +147,9 @@
 	return Serve(ctx, sv.server, sv.listener, shutdownTimeout)
 }
 
-// Serve runs an HTTP server until the context ends, then lets requests in
-// flight finish for at most the given time.
-func Serve(ctx context.Context, server *http.Server, lis net.Listener, patience time.Duration) error {
+// Serve runs an HTTP server until the context ends, then gives requests in flight
+// up to the grace period to finish.
+func Serve(ctx context.Context, server *http.Server, lis net.Listener, grace time.Duration) error {
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(lis) }()
 	select {
@@ -156,7 +157,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	stopCtx, cancel := context.WithTimeout(context.Background(), patience)
+	stopCtx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if err := server.Shutdown(stopCtx); err != nil {
 		return server.Close()
--- a/internal/duty/run/func.go
+++ b/internal/duty/run/func.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Func is a step that is only a function.
+// Func is a step that runs a function and has no settings.
 type Func struct {
 	Name string
 	Do   func(ctx context.Context) error
 }
 
-// String is the step's name in logs.
+// String returns the name of the step in logs.
 func (fn *Func) String() string { return fn.Name }
 
-// Default has nothing to fill.
+// Default does nothing.
 func (fn *Func) Default() error { return nil }
 
 // Run calls the function.
 func (fn *Func) Run(ctx context.Context) error { return fn.Do(ctx) }
 
-// Every calls a function in each period until the context ends.
+// Every calls do once per period until the context ends. It does not call it at
+// the start.
 func Every(ctx context.Context, period time.Duration, do func()) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/duty/run/run.go
+++ b/internal/duty/run/run.go
@@ -1,5 +1,5 @@
-// Package run starts the steps of a process, one goroutine each, and stops
-// them in reverse order.
+// Package run runs the long-lived components of a process, called steps, in one
+// goroutine each, and stops them in reverse order.
 //
 // Usage:
 //
@@ -16,7 +16,7 @@
 	weir "greengageweir"
 )
 
-// Defaults fills and checks the settings of all steps.
+// Defaults sets defaults and validates the settings of all steps.
 func Defaults(steps ...weir.Component) error {
 	for _, stp := range steps {
 		if err := stp.Default(); err != nil {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// All runs the steps until the context ends or one of them fails, then stops
-// the steps last to first, each whole before the next.
+// All runs the steps until the context ends or one of them fails. Then it stops
+// them from last to first and waits for each before it stops the next.
 func All(ctx context.Context, lg log.Logger, steps ...weir.Component) error {
 	if err := Defaults(steps...); err != nil {
 		return err
@@ -45,6 +45,7 @@
 	return err
 }
 
+// group is a set of running steps.
 type group struct {
 	lg      log.Logger
 	failed  chan error
--- a/internal/duty/settings/settings.go
+++ b/internal/duty/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings checks a process's flags, all at once.
+// Package settings validates the settings of a process and reports all problems
+// in one error.
 //
 // Usage:
 //
@@ -20,10 +21,10 @@
 	"greengageweir/internal/duty/errkind"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid says that settings are missing or out of range.
+// KindInvalid means that settings are missing or invalid.
 const KindInvalid Kind = "settings are not valid"
 
 // Error is the error type of this package.
@@ -31,18 +32,18 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Checks collects what is wrong.
+// Checks collects the problems of invalid settings.
 type Checks struct {
 	problems []string
 }
 
-// Problem is the cause in an Error: one line for each wrong setting.
+// Problem is the cause of the Error, with one line per problem.
 type Problem struct{ lines []string }
 
 // Error implements error.
 func (pr *Problem) Error() string { return "\n  " + strings.Join(pr.lines, "\n  ") }
 
-func (ck *Checks) add(flag, format string, args ...any) {
+func (ck *Checks) addProblem(flag, format string, args ...any) {
 	ck.problems = append(ck.problems, flag+": "+fmt.Sprintf(format, args...))
 }
 
@@ -54,65 +55,66 @@
 	return &Error{Op: "check settings", Kind: KindInvalid, Err: &Problem{lines: ck.problems}}
 }
 
-// Name checks a name of lower-case letters, digits and hyphens.
+// Name checks that val consists of 1 to 63 lower-case letters, digits and
+// hyphens.
 func (ck *Checks) Name(flag, val string) {
 	if !namePattern.MatchString(val) {
-		ck.add(flag, "want a name of 1 to 63 lower-case letters, digits and hyphens, got %q", val)
+		ck.addProblem(flag, "want a name of 1 to 63 lower-case letters, digits and hyphens, got %q", val)
 	}
 }
 
-// Address checks an IP address with a port.
+// Address checks that val is an IP address with a port.
 func (ck *Checks) Address(flag, val string) {
 	host, port, err := net.SplitHostPort(val)
 	if err != nil || net.ParseIP(host) == nil {
-		ck.add(flag, "want IP:port, got %q", val)
+		ck.addProblem(flag, "want IP:port, got %q", val)
 		return
 	}
 	if num, err := strconv.Atoi(port); err != nil || num < 0 || num > 65535 {
-		ck.add(flag, "want a port from 0 to 65535, got %q", port)
+		ck.addProblem(flag, "want a port from 0 to 65535, got %q", port)
 	}
 }
 
-// Range checks a duration.
+// Range checks that a duration is between low and high.
 func (ck *Checks) Range(flag string, val, low, high time.Duration) {
 	if val < low || val > high {
-		ck.add(flag, "%s is out of range, want %s to %s", val, low, high)
+		ck.addProblem(flag, "%s is out of range, want %s to %s", val, low, high)
 	}
 }
 
-// Count checks a number.
+// Count checks that a number is between low and high.
 func (ck *Checks) Count(flag string, val, low, high int) {
 	if val < low || val > high {
-		ck.add(flag, "%d is out of range, want %d to %d", val, low, high)
+		ck.addProblem(flag, "%d is out of range, want %d to %d", val, low, high)
 	}
 }
 
 // File checks that a file can be read.
 func (ck *Checks) File(flag, path string) {
 	if path == "" {
-		ck.add(flag, "missing")
+		ck.addProblem(flag, "missing")
 		return
 	}
-	file, err := os.Open(path) //nolint:gosec // the operator names the file
+	file, err := os.Open(path) //nolint:gosec // the path comes from the operator
 	if err != nil {
-		ck.add(flag, "%v", err)
+		ck.addProblem(flag, "%v", err)
 		return
 	}
 	_ = file.Close()
 }
 
-// Require reports a setting that is missing.
+// Require checks that a setting is present.
 func (ck *Checks) Require(flag string, present bool) {
 	if !present {
-		ck.add(flag, "missing")
+		ck.addProblem(flag, "missing")
 	}
 }
 
-// Pair splits "name=value".
+// Pair splits a value of the form "name=value".
 func (ck *Checks) Pair(flag, val string) (name, rest string) {
 	name, rest, ok := strings.Cut(val, "=")
 	if !ok || name == "" || rest == "" {
-		ck.add(flag, "want name=value, got %q", val)
+		ck.addProblem(flag, "want name=value, got %q", val)
 	}
 	return name, rest
 }
