--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Add adds a process and connects to it if Run is active. It does nothing for
-// this process itself or one that was added before.
+// Add adds another process, and connects to it at once if Run is active. It does
+// nothing for this process itself and for a process that was added before.
 func (ls *Links) Add(id, addr string) {
 	if id == ls.Self.ID {
 		return
--- a/internal/state/replica/cluster_test.go
+++ b/internal/state/replica/cluster_test.go
@@ -40,7 +40,7 @@
 	rng         *rand.Rand
 	now         time.Time
 	ids         []string
-	peers       map[string]*testMember
+	members     map[string]*testMember
 	net         []Message
 	partitioned map[string]bool // members whose links are cut
 	// appliedAt is the first entry applied at each index, by any member.
@@ -58,21 +58,21 @@
 
 func newCluster(t *testing.T, size int, seed int64) *cluster {
 	cl := &cluster{
-		t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), peers: map[string]*testMember{},
+		t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), members: map[string]*testMember{},
 		partitioned: map[string]bool{}, appliedAt: map[uint64]string{}, leaders: map[uint64]string{},
 	}
 	for ix := range size {
 		cl.ids = append(cl.ids, fmt.Sprintf("c%d", ix+1))
 	}
 	for _, id := range cl.ids {
-		cl.peers[id] = &testMember{disk: disk{hard: HardState{Disk: id + "-0"}}}
+		cl.members[id] = &testMember{disk: disk{hard: HardState{Disk: id + "-0"}}}
 		cl.start(id)
 	}
 	return cl
 }
 
 func (cl *cluster) start(id string) {
-	pe := cl.peers[id]
+	pe := cl.members[id]
 	members := cl.ids
 	if cl.initial != nil {
 		members = nil
@@ -89,19 +89,19 @@
 	pe.up = true
 }
 
-func (cl *cluster) crash(id string) { cl.peers[id].up = false }
+func (cl *cluster) crash(id string) { cl.members[id].up = false }
 
 // wipe crashes a member and erases its disk. It restarts as a learner.
 func (cl *cluster) wipe(id string) {
 	cl.crash(id)
 	cl.wipes++
-	cl.peers[id].disk = disk{hard: HardState{Learner: !cl.wipedMembersVote, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
+	cl.members[id].disk = disk{hard: HardState{Learner: !cl.wipedMembersVote, Disk: fmt.Sprintf("%s-%d", id, cl.wipes)}}
 }
 
-// settle does the work that a member's core returns. With crash set, the member
+// processReady does the work that a member's core returns. With crash set, the member
 // crashes at a random point of it.
-func (cl *cluster) settle(id string, crash bool) {
-	pe := cl.peers[id]
+func (cl *cluster) processReady(id string, crash bool) {
+	pe := cl.members[id]
 	for {
 		rd := pe.core.Ready()
 		if rd.Empty() {
@@ -146,7 +146,7 @@
 
 // apply checks that no two members apply different commands at one index.
 func (cl *cluster) apply(id string, entries []Entry) {
-	pe := cl.peers[id]
+	pe := cl.members[id]
 	for _, ent := range entries {
 		require.Equal(cl.t, pe.appliedIndex+1, ent.Index, "entries are applied in order without gaps")
 		pe.appliedIndex = ent.Index
@@ -162,7 +162,7 @@
 
 // checkOneLeaderPerTerm fails the test if two members lead the same term.
 func (cl *cluster) checkOneLeaderPerTerm(id string) {
-	pe := cl.peers[id]
+	pe := cl.members[id]
 	if pe.core.Role() != Leader {
 		return
 	}
@@ -173,12 +173,12 @@
 }
 
 func (cl *cluster) tick(id string) {
-	pe := cl.peers[id]
+	pe := cl.members[id]
 	if !pe.up {
 		return
 	}
 	pe.core.Tick(cl.now)
-	cl.settle(id, false)
+	cl.processReady(id, false)
 }
 
 // deliver delivers one message of the network. With keep set it stays in the
@@ -188,17 +188,17 @@
 	if !keep {
 		cl.net = append(cl.net[:pos], cl.net[pos+1:]...)
 	}
-	pe := cl.peers[msg.To]
+	pe := cl.members[msg.To]
 	if !pe.up || cl.partitioned[msg.From] != cl.partitioned[msg.To] {
 		return
 	}
 	pe.core.Step(cl.now, msg)
-	cl.settle(msg.To, false)
+	cl.processReady(msg.To, false)
 }
 
 func (cl *cluster) leader() string {
 	for _, id := range cl.ids {
-		if pe := cl.peers[id]; pe.up && pe.core.Role() == Leader && !cl.partitioned[id] {
+		if pe := cl.members[id]; pe.up && pe.core.Role() == Leader && !cl.partitioned[id] {
 			return id
 		}
 	}
@@ -210,7 +210,7 @@
 func (cl *cluster) stabilize(rounds int) {
 	cl.partitioned = map[string]bool{}
 	for _, id := range cl.ids {
-		if !cl.peers[id].up {
+		if !cl.members[id].up {
 			cl.start(id)
 		}
 	}
@@ -239,13 +239,13 @@
 	if id == "" {
 		return false
 	}
-	_, _, err := cl.peers[id].core.Propose([]byte(data))
-	cl.settle(id, false)
+	_, _, err := cl.members[id].core.Propose([]byte(data))
+	cl.processReady(id, false)
 	return err == nil
 }
 
 func (cl *cluster) compact(id string) {
-	pe := cl.peers[id]
+	pe := cl.members[id]
 	if !pe.up || pe.core.Applied() == 0 || pe.core.Applied() <= pe.disk.snap.Index {
 		return
 	}
--- a/internal/state/replica/core_test.go
+++ b/internal/state/replica/core_test.go
@@ -19,8 +19,8 @@
 			require.True(t, cl.propose("a"))
 			cl.stabilize(5)
 			for _, id := range cl.ids {
-				require.Equal(t, cl.peers[cl.ids[0]].appliedIndex, cl.peers[id].appliedIndex)
-				require.GreaterOrEqual(t, cl.peers[id].appliedIndex, uint64(2))
+				require.Equal(t, cl.members[cl.ids[0]].appliedIndex, cl.members[id].appliedIndex)
+				require.GreaterOrEqual(t, cl.members[id].appliedIndex, uint64(2))
 			}
 		})
 	}
@@ -43,9 +43,9 @@
 		cl.deliverAll()
 	}
 	require.NotEqual(t, old, cl.leader())
-	cl.peers[old].core.Tick(cl.now)
-	require.Equal(t, Follower, cl.peers[old].core.Role())
-	_, _, err := cl.peers[old].core.Propose([]byte("late"))
+	cl.members[old].core.Tick(cl.now)
+	require.Equal(t, Follower, cl.members[old].core.Role())
+	_, _, err := cl.members[old].core.Propose([]byte("late"))
 	require.Error(t, err)
 }
 
@@ -55,7 +55,7 @@
 	cl := newCluster(t, 3, 3)
 	cl.stabilize(40)
 	leader := cl.leader()
-	term := cl.peers[leader].core.hard.Term
+	term := cl.members[leader].core.hard.Term
 	isolated := cl.ids[0]
 	if isolated == leader {
 		isolated = cl.ids[1]
@@ -70,7 +70,7 @@
 	}
 	cl.stabilize(40)
 	require.Equal(t, leader, cl.leader(), "pre-vote keeps the leader")
-	require.Equal(t, term, cl.peers[leader].core.hard.Term)
+	require.Equal(t, term, cl.members[leader].core.hard.Term)
 }
 
 func TestLaggingMemberCatchesUpFromSnapshot(t *testing.T) {
@@ -92,7 +92,7 @@
 	}
 	cl.propose("after the snapshot")
 	cl.stabilize(300)
-	require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[behind].core.Applied())
+	require.Equal(t, cl.members[cl.leader()].appliedIndex, cl.members[behind].core.Applied())
 }
 
 func TestWipedMemberIsLearnerUntilReadmitted(t *testing.T) {
@@ -106,16 +106,16 @@
 	}
 	cl.wipe(wiped)
 	cl.start(wiped)
-	require.True(t, cl.peers[wiped].core.hard.Learner)
-	cl.peers[wiped].core.Step(cl.now, Message{
+	require.True(t, cl.members[wiped].core.hard.Learner)
+	cl.members[wiped].core.Step(cl.now, Message{
 		Kind: MsgVote, From: cl.leader(), To: wiped, Term: 99, Index: 99, LogTerm: 99,
 	})
-	for _, msg := range cl.peers[wiped].core.Ready().Messages {
+	for _, msg := range cl.members[wiped].core.Ready().Messages {
 		require.True(t, msg.Reject, "a member that lost its disk does not vote")
 	}
 	cl.stabilize(100)
-	require.False(t, cl.peers[wiped].core.hard.Learner, "readmitted after it caught up")
-	require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[wiped].appliedIndex)
+	require.False(t, cl.members[wiped].core.hard.Learner, "readmitted after it caught up")
+	require.Equal(t, cl.members[cl.leader()].appliedIndex, cl.members[wiped].appliedIndex)
 }
 
 // TestLateSnapshotKeepsAcknowledgedEntries delivers a snapshot to a follower
@@ -150,7 +150,7 @@
 	require.True(t, cl.propose("last"), "seed %d: a leader exists when faults end", seed)
 	cl.stabilize(20)
 	for _, id := range cl.ids {
-		require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[id].appliedIndex, "seed %d: %s caught up", seed, id)
+		require.Equal(t, cl.members[cl.leader()].appliedIndex, cl.members[id].appliedIndex, "seed %d: %s caught up", seed, id)
 	}
 	return cl
 }
@@ -170,10 +170,10 @@
 		cl.propose(fmt.Sprintf("step %d", step))
 	case roll < 950:
 		cl.partitioned[id] = !cl.partitioned[id]
-	case roll < 962 && cl.peers[id].up:
-		cl.peers[id].core.Tick(cl.now.Add(testElection))
-		cl.settle(id, true)
-	case roll < 985 && !cl.peers[id].up:
+	case roll < 962 && cl.members[id].up:
+		cl.members[id].core.Tick(cl.now.Add(testElection))
+		cl.processReady(id, true)
+	case roll < 985 && !cl.members[id].up:
 		cl.start(id)
 	case roll < 990:
 		cl.compact(id)
@@ -186,7 +186,7 @@
 // at a time, since a second loss before readmission can lose the majority.
 func (cl *cluster) allVote() bool {
 	for _, id := range cl.ids {
-		if pe := cl.peers[id]; !pe.up || pe.core.hard.Learner {
+		if pe := cl.members[id]; !pe.up || pe.core.hard.Learner {
 			return false
 		}
 	}
--- a/internal/state/replica/members.go
+++ b/internal/state/replica/members.go
@@ -115,7 +115,7 @@
 func (co *Core) followers() []string { return slices.Sorted(maps.Keys(co.progress)) }
 
 // AddNonVoter makes the leader replicate its log to a process that does not
-// vote. It does nothing at other members or for a known process.
+// vote. It does nothing if this member does not lead, or for a known process.
 func (co *Core) AddNonVoter(now time.Time, id string) {
 	if co.role != Leader || id == co.ID || co.progress[id] != nil {
 		return
--- a/internal/state/replica/members_test.go
+++ b/internal/state/replica/members_test.go
@@ -21,7 +21,7 @@
 // many as voters says, may vote.
 func newClusterWithNonVoters(t *testing.T, size, voters int, seed int64, lazy bool) *cluster {
 	cl := &cluster{
-		t: t, lazy: lazy, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), peers: map[string]*testMember{},
+		t: t, lazy: lazy, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_800_000_000, 0), members: map[string]*testMember{},
 		partitioned: map[string]bool{}, appliedAt: map[uint64]string{}, leaders: map[uint64]string{},
 	}
 	for ix := range size {
@@ -33,7 +33,7 @@
 		if ix >= voters {
 			hard = HardState{Disk: id + "-0", Learner: true}
 		}
-		cl.peers[id] = &testMember{disk: disk{hard: hard}}
+		cl.members[id] = &testMember{disk: disk{hard: hard}}
 		cl.start(id)
 	}
 	return cl
@@ -43,9 +43,9 @@
 func (cl *cluster) addNonVoters() {
 	if id := cl.leader(); id != "" {
 		for _, other := range cl.ids {
-			cl.peers[id].core.AddNonVoter(cl.now, other)
+			cl.members[id].core.AddNonVoter(cl.now, other)
 		}
-		cl.settle(id, false)
+		cl.processReady(id, false)
 	}
 }
 
@@ -55,15 +55,15 @@
 	if id == "" {
 		return &Error{Op: "change", Kind: KindNotLeader}
 	}
-	core := cl.peers[id].core
+	core := cl.members[id].core
 	voters := maps.Clone(core.voters())
 	edit(voters, core)
 	err := core.ChangeMembers(cl.now, voters)
-	cl.settle(id, false)
+	cl.processReady(id, false)
 	return err
 }
 
-func (cl *cluster) voters() []string { return cl.peers[cl.leader()].core.Status().Voters }
+func (cl *cluster) voters() []string { return cl.members[cl.leader()].core.Status().Voters }
 
 func TestNonVoterReplacesLostVoter(t *testing.T) {
 	cl := newEagerClusterWithNonVoters(t, 4, 3, 1)
@@ -87,7 +87,7 @@
 		}
 	}
 	pass(20)
-	term := cl.peers[cl.leader()].core.Status().Term
+	term := cl.members[cl.leader()].core.Status().Term
 	require.NoError(t, cl.changeMembers(t, func(voters map[string]string, core *Core) {
 		disk, ready := core.CaughtUpNonVoter("c4")
 		require.True(t, ready)
@@ -95,9 +95,9 @@
 	}))
 	// From now on the quorum includes the non-voter, before its first reply as a
 	// voter.
-	cl.peers[cl.leader()].core.Tick(cl.now)
+	cl.members[cl.leader()].core.Tick(cl.now)
 	pass(20)
-	require.Equal(t, term, cl.peers[cl.leader()].core.Status().Term, "the leader stays")
+	require.Equal(t, term, cl.members[cl.leader()].core.Status().Term, "the leader stays")
 	require.NoError(t, cl.changeMembers(t, func(voters map[string]string, _ *Core) { delete(voters, lost) }))
 	pass(20)
 	require.Len(t, cl.voters(), 3)
@@ -106,10 +106,10 @@
 	leader := cl.leader()
 	other := slices.DeleteFunc(slices.Clone(cl.voters()), func(id string) bool { return id == leader || id == "c4" })[0]
 	cl.partitioned[other] = true
-	before := cl.peers[leader].appliedIndex
+	before := cl.members[leader].appliedIndex
 	require.True(t, cl.propose("after"))
 	pass(5)
-	require.Greater(t, cl.peers[leader].appliedIndex, before, "the new voter counts for the commit")
+	require.Greater(t, cl.members[leader].appliedIndex, before, "the new voter counts for the commit")
 }
 
 // TestLazyPropagationSendsOneAppendPerVoter checks that a command causes one
@@ -119,7 +119,7 @@
 	cl.stabilize(40)
 	cl.addNonVoters()
 	cl.stabilize(10)
-	before := cl.peers["c4"].appliedIndex
+	before := cl.members["c4"].appliedIndex
 	require.True(t, cl.propose("command"))
 	sent := map[string]int{}
 	for len(cl.net) > 0 {
@@ -132,9 +132,9 @@
 	for to, count := range sent {
 		require.Equal(t, 1, count, "%s gets one append, and none for the commit", to)
 	}
-	require.Contains(t, cl.appliedAt[cl.peers[cl.leader()].appliedIndex], "command/", "it is committed")
+	require.Contains(t, cl.appliedAt[cl.members[cl.leader()].appliedIndex], "command/", "it is committed")
 	cl.stabilize(10)
-	require.Greater(t, cl.peers["c4"].appliedIndex, before, "the non-voter gets it with a heartbeat")
+	require.Greater(t, cl.members["c4"].appliedIndex, before, "the non-voter gets it with a heartbeat")
 }
 
 func TestMembershipChangesOneVoterAtATime(t *testing.T) {
@@ -148,7 +148,7 @@
 	leader := cl.leader()
 	require.ErrorContains(t, cl.changeMembers(t, func(voters map[string]string, _ *Core) { delete(voters, leader) }),
 		string(KindMembers), "the leader itself")
-	cl.peers[leader].core.Tick(cl.now)
+	cl.members[leader].core.Tick(cl.now)
 	require.NoError(t, cl.changeMembers(t, func(voters map[string]string, _ *Core) { voters["c4"] = "c4-0" }))
 	require.ErrorContains(t, cl.changeMembers(t, func(voters map[string]string, _ *Core) { voters["c5"] = "c5-0" }),
 		string(KindPending), "the first is not committed")
@@ -181,10 +181,10 @@
 				if cl.changeMembers(t, cl.randomEdit) == nil {
 					changes++
 				}
-			case draw < 94 && cl.peers[id].up:
-				cl.settle(id, true)
+			case draw < 94 && cl.members[id].up:
+				cl.processReady(id, true)
 				cl.crash(id)
-			case draw < 96 && !cl.peers[id].up:
+			case draw < 96 && !cl.members[id].up:
 				cl.start(id)
 			case draw < 97:
 				cl.partitioned[id] = !cl.partitioned[id]
@@ -197,7 +197,7 @@
 		require.True(t, cl.propose("last"))
 		cl.stabilize(10)
 		for _, id := range cl.voters() {
-			require.Equal(t, cl.peers[cl.leader()].appliedIndex, cl.peers[id].appliedIndex, "seed %d: %s caught up", seed, id)
+			require.Equal(t, cl.members[cl.leader()].appliedIndex, cl.members[id].appliedIndex, "seed %d: %s caught up", seed, id)
 		}
 	}
 	require.Greater(t, changes, 200, "membership changes are frequent")
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -126,6 +126,8 @@
 	return lg, st, nil
 }
 
+// lockFolder takes an exclusive lock, which the kernel releases when the process
+// ends.
 func lockFolder(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -225,7 +227,7 @@
 	}
 	st.TornBytes = int64(len(rest))
 	if err := lg.file.Truncate(lg.size); err != nil {
-		return &Error{Op: "cut tail", Kind: KindIO, Err: err}
+		return &Error{Op: "truncate tail", Kind: KindIO, Err: err}
 	}
 	if err := lg.file.Sync(); err != nil {
 		return &Error{Op: "sync", Kind: KindIO, Err: err}
@@ -392,6 +394,7 @@
 	return file.Sync()
 }
 
+// syncFolder makes created and renamed files of a folder durable.
 func syncFolder(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
