--- a/internal/duty/invariant/invariant.go
+++ b/internal/duty/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks the system's invariants where the code relies on them.
-// A violation is counted, logged and kept for the state dump. In tests and soak
-// runs it panics.
+// Package invariant checks the system's invariants at the point where a decision
+// depends on them. A violation is counted, logged and kept for the state dump. In
+// tests and soak runs it panics.
 //
 // Usage:
 //
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -38,7 +38,7 @@
 
 // heartbeatInterval is the time between two heartbeats of a link. Two fit into the
 // link timeout. With 45 entry instances and five members, heartbeats are a sixth
-// of all messages that a follower handles.
+// of all that a follower handles.
 const heartbeatInterval = peer.LinkTimeout / 2
 
 // Links holds the connections to the other processes. Set the exported fields
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -117,7 +117,7 @@
 	return ro.leader
 }
 
-// SetLeader records the leader that a response named or came from.
+// SetLeader records the last known leader, "" if none is known.
 func (ro *Roster) SetLeader(id string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
