--- a/internal/job/store/change.go
+++ b/internal/job/store/change.go
@@ -9,15 +9,15 @@
 	weir "greengageweir"
 )
 
-// Entry is one record of the replicated log: changes that are applied in
-// order, in one step.
+// Entry is one record of the replicated log. Its changes are applied in order
+// and atomically.
 type Entry struct {
-	// At is the proposing leader's time of day.
+	// At is the wall clock time of the leader that proposed the entry.
 	At      time.Time `json:"at"`
 	Changes []Change  `json:"c"`
 }
 
-// Change is one change; exactly one field is set.
+// Change is one change of the state; exactly one field is set.
 type Change struct {
 	Catalog *catalog.Packed   `json:"cat,omitempty"`
 	Submit  *spec.Job         `json:"sub,omitempty"`
@@ -31,10 +31,11 @@
 	Machine *MachineOperation `json:"mach,omitempty"`
 }
 
-// Worker is one life of an instance that runs tasks.
+// Worker is one incarnation of an instance that runs tasks, as it announced
+// itself.
 type Worker struct {
 	ID weir.InstanceID `json:"id"`
-	// Incarnation tells the lives of one id apart: the time of the life's start in
+	// Incarnation distinguishes restarts under one id: the start time in
 	// milliseconds since 1970.
 	Incarnation int64          `json:"born"`
 	Machine     string         `json:"machine,omitempty"`
@@ -44,28 +45,30 @@
 	Kind        string         `json:"kind,omitempty"`
 	Rack        string         `json:"rack,omitempty"`
 	Capacity    spec.Resources `json:"room"`
-	// Draining workers get no new tasks.
+	// Draining workers are given no new tasks.
 	Draining bool `json:"draining,omitempty"`
-	// Sequence rises with each announcement of a life, so that word that was
-	// held up on its way is known as such.
+	// Sequence increases with each announcement of an incarnation, so that a
+	// delayed announcement is recognized as outdated.
 	Sequence int64 `json:"seq,omitempty"`
 }
 
-// EqualIgnoringSequence reports whether two announcements say the same of a worker.
+// EqualIgnoringSequence reports whether two announcements describe a worker
+// alike in all but the sequence number.
 func (wk Worker) EqualIgnoringSequence(other Worker) bool {
 	wk.Sequence = other.Sequence
 	return wk == other
 }
 
-// WorkerLeave ends one life of a worker: nothing runs there any more.
+// WorkerLeave removes one incarnation of a worker, on which nothing runs any
+// more.
 type WorkerLeave struct {
 	ID          weir.InstanceID `json:"id"`
 	Incarnation int64           `json:"born"`
 	Reason      string          `json:"why"`
 }
 
-// RunStart is the intent to start a run. It is committed before the order is
-// sent, so that every later leader knows where a run may be.
+// RunStart records the intent to start a run. It is committed before the order
+// is sent, so that every later leader knows on which worker the run may be.
 type RunStart struct {
 	Task        spec.TaskRef    `json:"t"`
 	Run         int             `json:"r"`
@@ -73,26 +76,26 @@
 	Incarnation int64           `json:"b"`
 }
 
-// EndReason tells how a run ended.
+// EndReason tells why a run ended.
 type EndReason string
 
-// The ways a run ends.
+// The reasons for the end of a run.
 const (
 	EndDone   EndReason = "done"
 	EndFailed EndReason = "failed"
-	// EndStopped, EndLapsed, EndBroken and EndAlone are a worker's words for
-	// runs that ended through no fault of the task.
+	// EndStopped, EndLeaseExpired, EndBroken and EndAlone are reported by a
+	// worker for runs that ended through no fault of the task.
 	EndStopped      EndReason = "stopped"
 	EndLeaseExpired EndReason = "lapsed"
 	EndBroken       EndReason = "broken"
 	EndAlone        EndReason = "alone"
-	// EndLost says that the run is surely over and has left no end.
+	// EndLost says that the run has certainly ended, but no reason was reported.
 	EndLost EndReason = "lost"
 	// EndRefused says that the worker refused to start it.
 	EndRefused EndReason = "refused"
 )
 
-// RunEnd is the end of one run.
+// RunEnd records the end of one run.
 type RunEnd struct {
 	Task       spec.TaskRef `json:"t"`
 	Run        int          `json:"r"`
@@ -100,18 +103,18 @@
 	Checkpoint string       `json:"cp,omitempty"`
 }
 
-// Wave asks for the maintenance of machines.
+// Wave is a request for the maintenance of a set of machines.
 type Wave struct {
 	Number   int64     `json:"number"`
 	Machines []string  `json:"machines"`
 	Deadline time.Time `json:"deadline"`
-	// MaxParallel bounds the machines that are away at a time.
+	// MaxParallel limits the machines that are under maintenance at a time.
 	MaxParallel int `json:"atOnce"`
-	// Started holds the machines whose maintenance has begun.
+	// Started holds the machines whose maintenance has started.
 	Started map[string]bool `json:"begun,omitempty"`
 }
 
-// AllStarted reports whether each machine's maintenance has begun.
+// AllStarted reports whether the maintenance of every machine has started.
 func (wv Wave) AllStarted() bool {
 	for _, mc := range wv.Machines {
 		if !wv.Started[mc] {
@@ -121,17 +124,18 @@
 	return true
 }
 
-// MachineOperation records that an operation on a machine was ordered, or
-// that it has begun.
+// MachineOperation records that an operation on a machine was ordered, has
+// started, or was not executed.
 type MachineOperation struct {
 	Machine string `json:"machine"`
 	// Wave is set for maintenance, Pool for a move.
 	Wave int64         `json:"wave,omitempty"`
 	Pool weir.PoolName `json:"pool,omitempty"`
-	// Worker and Born name the life that the operation ends.
+	// Worker and Incarnation identify the worker that the operation shuts down.
 	Worker      weir.InstanceID `json:"worker,omitempty"`
 	Incarnation int64           `json:"born,omitempty"`
 	Started     bool            `json:"begun,omitempty"`
-	// NotExecuted says that the platform certainly did not and will not do it.
+	// NotExecuted says that the platform certainly did not execute the operation
+	// and will not do so.
 	NotExecuted bool `json:"void,omitempty"`
 }
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -9,34 +9,34 @@
 	weir "greengageweir"
 )
 
-// Catalog is the configuration in force.
+// Catalog returns the configuration in force.
 func (rd Reader) Catalog() catalog.Catalog { return rd.st.Catalog }
 
-// Packed is the configuration in force, packed.
+// Packed returns the configuration in force in its packed form.
 func (rd Reader) Packed() catalog.Packed { return rd.st.Packed }
 
-// Queue returns the queue with a key.
+// Queue returns the queue with the given key.
 func (rd Reader) Queue(key string) (catalog.Queue, bool) {
 	qu, ok := rd.st.Queues[key]
 	return qu, ok
 }
 
-// Job returns a job, nil where it is not known. It must not be changed, nor
-// kept beyond the read.
+// Job returns a job, or nil if it is unknown. The result must not be modified,
+// nor used after the read.
 func (rd Reader) Job(id spec.JobID) *JobState { return rd.st.Jobs[id] }
 
-// EachActiveJob calls a function for each job that has tasks to run or runs that
-// may be at workers.
+// EachActiveJob calls do for each job that has tasks left to run, or runs that
+// may still be on workers.
 func (rd Reader) EachActiveJob(do func(js *JobState)) {
 	for id := range rd.st.Active {
 		do(rd.st.Jobs[id])
 	}
 }
 
-// Pending counts the jobs of a queue that have not begun.
+// Pending returns the number of jobs of a queue that have not started.
 func (rd Reader) Pending(queue string) int { return len(rd.st.ByQueue[queue]) }
 
-// Worker returns a worker.
+// Worker returns the worker with the given id.
 func (rd Reader) Worker(id weir.InstanceID) (Worker, bool) {
 	wk, ok := rd.st.Workers[id]
 	if !ok {
@@ -45,36 +45,38 @@
 	return *wk, true
 }
 
-// EachWorker calls a function for each worker.
+// EachWorker calls do for each worker.
 func (rd Reader) EachWorker(do func(wk Worker)) {
 	for _, wk := range rd.st.Workers {
 		do(*wk)
 	}
 }
 
-// Runs returns the runs that may be at a worker, with what they count.
+// Runs returns the runs that may be on a worker, with the resources that each
+// reserves.
 func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
 
-// Load sums up the runs that may be at a worker.
+// Load returns the totals of the runs that may be on a worker.
 func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
 
-// WorkerRevision changes whenever a worker does; it compares only within one
-// life of this process.
-func (rd Reader) WorkerRevision() uint64 { return rd.st.WorkerChanges }
+// WorkerRevision changes whenever a worker changes. Values are comparable only
+// until this process restarts.
+func (rd Reader) WorkerRevision() uint64 { return rd.st.WorkerRevision }
 
-// Waves returns the maintenance waves; they must not be changed.
+// Waves returns the maintenance waves by number; they must not be modified.
 func (rd Reader) Waves() map[int64]*Wave { return rd.st.Waves }
 
-// MachineOperation returns the operation under way on a machine.
+// MachineOperation returns the operation in progress on a machine.
 func (rd Reader) MachineOperation(machine string) (MachineOperation, bool) {
-	op, ok := rd.st.Orders[machine]
+	op, ok := rd.st.MachineOperations[machine]
 	if !ok {
 		return MachineOperation{}, false
 	}
 	return *op, true
 }
 
-// JobsEndedBefore returns jobs that ended before a time, at most limit of them.
+// JobsEndedBefore returns at most limit jobs that ended before a time and have
+// no runs left on workers.
 func (rd Reader) JobsEndedBefore(before time.Time, limit int) []spec.JobID {
 	var ids []spec.JobID
 	for id, js := range rd.st.Jobs {
@@ -88,17 +90,17 @@
 	return ids
 }
 
-// EachMachineOperation calls a function for each operation under way on a machine.
+// EachMachineOperation calls do for each machine operation in progress.
 func (rd Reader) EachMachineOperation(do func(op MachineOperation)) {
-	for _, op := range rd.st.Orders {
+	for _, op := range rd.st.MachineOperations {
 		do(*op)
 	}
 }
 
-// MachineOperationSeenAt returns when this member learned last of an order for a machine.
-// An order in a snapshot counts from when that was taken over.
+// MachineOperationSeenAt returns when this replica last applied an operation on
+// a machine. Operations in a snapshot count from when it was restored.
 func (rd Reader) MachineOperationSeenAt(machine string) time.Time {
-	at := rd.sr.orderedAt[machine]
+	at := rd.sr.operationSeenAt[machine]
 	if at.Before(rd.sr.restoredAt) {
 		return rd.sr.restoredAt
 	}
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -9,7 +9,7 @@
 	weir "greengageweir"
 )
 
-// Phase is where a job is in its life.
+// Phase is a phase of the lifecycle of a job.
 type Phase string
 
 // The phases of a job.
@@ -21,55 +21,58 @@
 	Cancelled Phase = "cancelled"
 )
 
-// Terminal reports whether the job has ended.
+// Terminal reports whether a job in this phase has ended.
 func (ph Phase) Terminal() bool { return ph == Done || ph == Failed || ph == Cancelled }
 
-// Task is what is known of one task.
+// Task is the state of one task.
 type Task struct {
 	// Run is the number of the latest run, 0 before the first.
 	Run int `json:"r,omitempty"`
-	// Worker and Born name where the run is, while it is not over.
+	// Worker and Incarnation identify the worker of the latest run until its end
+	// is recorded.
 	Worker      weir.InstanceID `json:"w,omitempty"`
 	Incarnation int64           `json:"b,omitempty"`
 	Done        bool            `json:"d,omitempty"`
-	// Failures counts the runs that ended as failed, and FailedRun is the last
-	// of them; a gang's are kept with its first task.
+	// Failures counts the failed runs, and FailedRun is the number of the last
+	// one. The first task of a gang holds them for the whole gang.
 	Failures  int `json:"f,omitempty"`
 	FailedRun int `json:"fr,omitempty"`
-	// Checkpoint is where the next run resumes.
+	// Checkpoint is the checkpoint that the next run resumes from.
 	Checkpoint string `json:"cp,omitempty"`
-	// StartedAt is when the latest run was ordered, EndedAt when it ended.
+	// StartedAt is when the start of the latest run was committed, EndedAt when
+	// its end was.
 	StartedAt time.Time `json:"sa,omitzero"`
 	EndedAt   time.Time `json:"ea,omitzero"`
 }
 
-// Placed reports whether a run of the task may be at a worker.
+// Placed reports whether a run of the task may be on a worker.
 func (tk *Task) Placed() bool { return tk.Worker != "" }
 
 // StepState holds the tasks of one step of one occurrence.
 type StepState struct {
 	Tasks []Task `json:"t"`
-	// TasksLeft counts the tasks that are not done.
+	// TasksLeft is the number of tasks that are not done.
 	TasksLeft int `json:"l"`
 }
 
-// JobState is what is known of one job.
+// JobState is the state of one job.
 type JobState struct {
 	Spec     spec.Job  `json:"spec"`
 	Accepted time.Time `json:"at"`
 	Phase    Phase     `json:"phase"`
-	// Started says that a run of some task was ordered.
+	// Started says that the start of some task was committed.
 	Started bool `json:"begun,omitempty"`
-	// Occurrences holds the steps of each occurrence; nil when it is over.
+	// Occurrences holds the steps of each occurrence. It is nil once the job has
+	// ended and no run of it is left on a worker.
 	Occurrences [][]StepState `json:"rounds,omitempty"`
-	// OccurrencesLeft counts the occurrences that are not done.
+	// OccurrencesLeft is the number of occurrences that are not done.
 	OccurrencesLeft int       `json:"left"`
 	Ended           time.Time `json:"ended,omitzero"`
-	// Placed counts the runs that may be at workers.
+	// Placed is the number of runs that may be on workers.
 	Placed int `json:"placed,omitempty"`
 }
 
-// Task returns a task, nil where there is none.
+// Task returns a task, or nil if there is none.
 func (js *JobState) Task(rf spec.TaskRef) *Task {
 	if rf.Occurrence >= len(js.Occurrences) || rf.Step >= len(js.Spec.Steps) || js.Occurrences[rf.Occurrence] == nil {
 		return nil
@@ -81,8 +84,8 @@
 	return &st.Tasks[rf.Index]
 }
 
-// Checkpoint returns where the next run of a task resumes. All members of a
-// gang resume from the same.
+// Checkpoint returns the checkpoint that the next run of a task resumes from.
+// All members of a gang resume from the same checkpoint.
 func (js *JobState) Checkpoint(rf spec.TaskRef) string {
 	if !js.Spec.Steps[rf.Step].Gang {
 		return js.Task(rf).Checkpoint
@@ -95,8 +98,9 @@
 	return ""
 }
 
-// GangComplete reports whether a run may do useful work: a member of a gang does
-// nothing unless all others of its run are at workers too.
+// GangComplete reports whether a run can make progress: a member of a gang is
+// idle until all members are on workers with the same run number. It is always
+// true for other tasks.
 func (js *JobState) GangComplete(key RunKey) bool {
 	if !js.Spec.Steps[key.Task.Step].Gang {
 		return true
@@ -110,24 +114,24 @@
 	return true
 }
 
-// MayNeedPlacement reports whether a task of an occurrence may have to be placed.
+// MayNeedPlacement reports whether some task of the job may have to be placed.
 func (js *JobState) MayNeedPlacement() bool {
 	if js.OccurrencesLeft > 1 {
 		return true
 	}
 	left := 0
-	for _, round := range js.Occurrences {
-		for sp := range round {
+	for _, steps := range js.Occurrences {
+		for sp := range steps {
 			if js.Spec.Steps[sp].Gang {
-				return true // members that are placed may be done
+				return true // Placed also counts members that are done already.
 			}
-			left += round[sp].TasksLeft
+			left += steps[sp].TasksLeft
 		}
 	}
 	return left > js.Placed
 }
 
-// StepReady reports whether all steps before a step are done.
+// StepReady reports whether all steps that a step depends on are done.
 func (js *JobState) StepReady(occurrence, step int) bool {
 	for _, before := range js.Spec.Steps[step].After {
 		if js.Occurrences[occurrence][before].TasksLeft > 0 {
@@ -137,38 +141,39 @@
 	return true
 }
 
-// state is the whole replicated state.
+// state is the complete replicated state. Fields without a name in JSON are
+// indexes that are rebuilt from the others.
 type state struct {
-	Index   uint64                                        `json:"index"`
-	Packed  catalog.Packed                                `json:"catalog"`
-	Jobs    map[spec.JobID]*JobState                      `json:"jobs"`
-	Workers map[weir.InstanceID]*Worker                   `json:"workers"`
-	Waves   map[int64]*Wave                               `json:"waves"`
-	Orders  map[string]*MachineOperation                  `json:"orders"`
-	Active  map[spec.JobID]bool                           `json:"-"`
-	ByQueue map[string]map[spec.JobID]bool                `json:"-"`
-	Runs    map[weir.InstanceID]map[RunKey]spec.Resources `json:"-"`
-	Loads   map[weir.InstanceID]WorkerLoad                `json:"-"`
-	// Catalog is what Packed holds, and Queues its queues by key.
+	Index             uint64                                        `json:"index"`
+	Packed            catalog.Packed                                `json:"catalog"`
+	Jobs              map[spec.JobID]*JobState                      `json:"jobs"`
+	Workers           map[weir.InstanceID]*Worker                   `json:"workers"`
+	Waves             map[int64]*Wave                               `json:"waves"`
+	MachineOperations map[string]*MachineOperation                  `json:"orders"`
+	Active            map[spec.JobID]bool                           `json:"-"`
+	ByQueue           map[string]map[spec.JobID]bool                `json:"-"`
+	Runs              map[weir.InstanceID]map[RunKey]spec.Resources `json:"-"`
+	Loads             map[weir.InstanceID]WorkerLoad                `json:"-"`
+	// Catalog is Packed in its unpacked form, and Queues holds its queues by key.
 	Catalog catalog.Catalog          `json:"-"`
 	Queues  map[string]catalog.Queue `json:"-"`
-	// WorkerChanges counts the changes of workers that this member applied.
-	WorkerChanges uint64 `json:"-"`
+	// WorkerRevision counts the changes of workers that this replica applied.
+	WorkerRevision uint64 `json:"-"`
 }
 
-// WorkerLoad sums up the runs that may be at a worker.
+// WorkerLoad holds totals of the runs that may be on a worker.
 type WorkerLoad struct {
-	// Used is the room that they take.
+	// Used is the sum of the resources that they reserve.
 	Used spec.Resources
-	// Serving counts the lasting tasks that serve users, BestEffort those that use
-	// what others leave.
+	// Serving counts the long-running tasks with reserved processor time,
+	// BestEffort the tasks without.
 	Serving, BestEffort int
-	// LongRunning and Batch count all that last and all that end by themselves.
+	// LongRunning counts the tasks that run until cancelled, Batch all others.
 	LongRunning, Batch int
 }
 
-// with returns the load with count more runs of a step.
-func (wl WorkerLoad) with(step spec.Step, count int) WorkerLoad {
+// add returns the load with count more runs of a step; count may be negative.
+func (wl WorkerLoad) add(step spec.Step, count int) WorkerLoad {
 	need := step.Reserved()
 	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
 	switch {
@@ -185,34 +190,34 @@
 	return wl
 }
 
-// RunKey names one run of one task.
+// RunKey identifies one run of one task.
 type RunKey = weir.RunKey
 
 func newState() *state {
 	st := &state{
 		Jobs: map[spec.JobID]*JobState{}, Workers: map[weir.InstanceID]*Worker{},
-		Waves: map[int64]*Wave{}, Orders: map[string]*MachineOperation{},
+		Waves: map[int64]*Wave{}, MachineOperations: map[string]*MachineOperation{},
 	}
-	st.index()
+	st.rebuildIndexes()
 	return st
 }
 
-// index rebuilds what follows from the rest.
-func (st *state) index() {
+// rebuildIndexes derives the fields that a snapshot does not hold.
+func (st *state) rebuildIndexes() {
 	st.Active = map[spec.JobID]bool{}
 	st.ByQueue = map[string]map[spec.JobID]bool{}
 	st.Runs = map[weir.InstanceID]map[RunKey]spec.Resources{}
 	st.Loads = map[weir.InstanceID]WorkerLoad{}
-	st.indexQueues()
+	st.rebuildQueues()
 	for id, js := range st.Jobs {
 		if js.Occurrences != nil {
 			st.Active[id] = true
 		}
 		st.addToQueue(js)
-		for oc, round := range js.Occurrences {
-			for sp := range round {
-				for ix := range round[sp].Tasks {
-					tk := &round[sp].Tasks[ix]
+		for oc, steps := range js.Occurrences {
+			for sp := range steps {
+				for ix := range steps[sp].Tasks {
+					tk := &steps[sp].Tasks[ix]
 					if tk.Placed() {
 						st.addRun(js, spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, tk)
 					}
@@ -222,7 +227,7 @@
 	}
 }
 
-func (st *state) indexQueues() {
+func (st *state) rebuildQueues() {
 	st.Queues = make(map[string]catalog.Queue, len(st.Catalog.Queues))
 	for _, qu := range st.Catalog.Queues {
 		st.Queues[qu.Key()] = qu
@@ -241,7 +246,7 @@
 	jobs[js.Spec.ID] = true
 }
 
-func (st *state) leaveQueue(js *JobState) { delete(st.ByQueue[js.Spec.Queue], js.Spec.ID) }
+func (st *state) removeFromQueue(js *JobState) { delete(st.ByQueue[js.Spec.Queue], js.Spec.ID) }
 
 func (st *state) addRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	runs := st.Runs[tk.Worker]
@@ -251,10 +256,10 @@
 	}
 	step := js.Spec.Steps[rf.Step]
 	runs[RunKey{Task: rf, Run: tk.Run}] = step.Reserved()
-	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(step, 1)
+	st.Loads[tk.Worker] = st.Loads[tk.Worker].add(step, 1)
 }
 
-func (st *state) dropRun(js *JobState, rf spec.TaskRef, tk *Task) {
+func (st *state) removeRun(js *JobState, rf spec.TaskRef, tk *Task) {
 	delete(st.Runs[tk.Worker], RunKey{Task: rf, Run: tk.Run})
-	st.Loads[tk.Worker] = st.Loads[tk.Worker].with(js.Spec.Steps[rf.Step], -1)
+	st.Loads[tk.Worker] = st.Loads[tk.Worker].add(js.Spec.Steps[rf.Step], -1)
 }
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -1,14 +1,14 @@
-// Package store is the replicated state of jobs, workers, configuration and
-// maintenance. It is a state machine of the replicated log: the same entries
-// give the same state on every member. It decides nothing about placing; it
-// refuses what would break a promise, such as a second run of a task.
+// Package store is the replicated state machine of jobs, workers, configuration
+// and maintenance: the same log entries give the same state on every replica.
+// It does not decide where tasks run, but it refuses changes that would break a
+// guarantee, such as a second concurrent run of a task.
 //
 // Usage:
 //
 //	st := store.New()
 //	nd := &node.Node{Machine: st, ...}
 //	data, err := store.Entry{At: now, Changes: changes}.Encode()
-//	answers, err := nd.Propose(ctx, data)       // one Answer for each change
+//	results, err := nd.Propose(ctx, data)       // one Result for each change
 //	st.Read(func(rd store.Reader) { ... })      // consistent, must not block
 package store
 
@@ -25,46 +25,50 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindFormat says that an entry or a snapshot cannot be read or written.
+// KindFormat means that an entry or a snapshot cannot be decoded or encoded.
 const KindFormat Kind = "unreadable"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Result is what became of one change.
+// Result is the result of applying one change.
 type Result struct {
-	// Applied says that the state now holds the change.
+	// Applied says that the state contains the change.
 	Applied bool
-	// Reason tells why it was not taken.
+	// Reason says why the change was refused, or "known" if the state contained
+	// it before.
 	Reason string
 }
 
-var taken = Result{Applied: true}
+var applied = Result{Applied: true}
 
 func refused(reason string) Result { return Result{Reason: reason} }
 
-// Store is the state machine. It is safe for concurrent use.
+// Store is the state machine of the replicated log. It is safe for concurrent
+// use.
 type Store struct {
-	// OnApplied is called after each entry, outside the lock; it may be nil.
+	// OnApplied is called after each entry and each restored snapshot, without the
+	// lock held; it may be nil.
 	OnApplied func()
-	// Clock dates orders for machines on this member; nil dates nothing.
+	// Clock timestamps the machine operations that this replica applies; nil
+	// disables the timestamps.
 	Clock weir.Clock
 
 	mu sync.RWMutex
 	st *state
-	// orderedAt is when this member learned last of an order for a machine,
-	// and restoredAt when it learned of all those in a snapshot.
-	orderedAt  map[string]time.Time
-	restoredAt time.Time
+	// operationSeenAt holds when this replica last applied an operation on each
+	// machine, and restoredAt when it last restored a snapshot.
+	operationSeenAt map[string]time.Time
+	restoredAt      time.Time
 }
 
 // New returns an empty store.
-func New() *Store { return &Store{st: newState(), orderedAt: map[string]time.Time{}} }
+func New() *Store { return &Store{st: newState(), operationSeenAt: map[string]time.Time{}} }
 
-// Encode returns the entry as the log keeps it.
+// Encode returns the entry in the log's format.
 func (en Entry) Encode() ([]byte, error) {
 	data, err := json.Marshal(en)
 	if err != nil {
@@ -73,7 +77,7 @@
 	return data, nil
 }
 
-// Apply implements node.Machine; it returns an []Answer.
+// Apply implements node.StateMachine; it returns a []Result.
 func (sr *Store) Apply(index uint64, data []byte) any {
 	var en Entry
 	if err := json.Unmarshal(data, &en); err != nil {
@@ -87,7 +91,7 @@
 	for ix := range en.Changes {
 		answers[ix] = sr.st.apply(en.At, &en.Changes[ix])
 		if op := en.Changes[ix].Machine; op != nil && sr.Clock != nil {
-			sr.orderedAt[op.Machine] = sr.Clock.Now()
+			sr.operationSeenAt[op.Machine] = sr.Clock.Now()
 		}
 	}
 	sr.mu.Unlock()
@@ -97,14 +101,14 @@
 	return answers
 }
 
-// Skip implements node.Machine.
+// Skip implements node.StateMachine.
 func (sr *Store) Skip(index uint64) {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
 	sr.st.Index = index
 }
 
-// Snapshot implements node.Machine.
+// Snapshot implements node.StateMachine.
 func (sr *Store) Snapshot() ([]byte, error) {
 	sr.mu.RLock()
 	defer sr.mu.RUnlock()
@@ -115,7 +119,7 @@
 	return data, nil
 }
 
-// Restore implements node.Machine.
+// Restore implements node.StateMachine.
 func (sr *Store) Restore(index uint64, data []byte) error {
 	st := newState()
 	if err := json.Unmarshal(data, st); err != nil {
@@ -129,9 +133,9 @@
 		st.Catalog = ct
 	}
 	st.Index = index
-	st.index()
+	st.rebuildIndexes()
 	sr.mu.Lock()
-	st.WorkerChanges = sr.st.WorkerChanges + 1
+	st.WorkerRevision = sr.st.WorkerRevision + 1
 	sr.st = st
 	if sr.Clock != nil {
 		sr.restoredAt = sr.Clock.Now()
@@ -169,7 +173,8 @@
 	return refused("empty change")
 }
 
-// applyCatalog keeps the highest version; an older one changes nothing.
+// applyCatalog keeps the highest version; a version that is not higher is
+// refused.
 func (st *state) applyCatalog(pk *catalog.Packed) Result {
 	if pk.Version <= st.Packed.Version {
 		return refused("version is not newer")
@@ -180,8 +185,8 @@
 		return refused("unreadable")
 	}
 	st.Packed, st.Catalog = *pk, ct
-	st.indexQueues()
-	return taken
+	st.rebuildQueues()
+	return applied
 }
 
 func (st *state) applySubmit(at time.Time, jb *spec.Job) Result {
@@ -199,7 +204,7 @@
 	st.Jobs[jb.ID] = js
 	st.Active[jb.ID] = true
 	st.addToQueue(js)
-	return taken
+	return applied
 }
 
 func (st *state) applyCancel(at time.Time, id spec.JobID) Result {
@@ -208,22 +213,23 @@
 		return refused("unknown job")
 	}
 	if !js.Phase.Terminal() {
-		st.end(at, js, Cancelled)
+		st.endJob(at, js, Cancelled)
 	}
-	return taken
+	return applied
 }
 
-// end closes a job; runs that may be at workers stay known until they are over.
-func (st *state) end(at time.Time, js *JobState, ph Phase) {
+// endJob moves a job to a terminal phase. Runs that may be on workers are kept
+// until their end is recorded.
+func (st *state) endJob(at time.Time, js *JobState, ph Phase) {
 	js.Phase = ph
 	js.Ended = at
-	st.leaveQueue(js)
-	st.settle(js)
+	st.removeFromQueue(js)
+	st.dropDetails(js)
 }
 
-// settle drops what is not needed once a job has ended and nothing of it is
-// at a worker.
-func (st *state) settle(js *JobState) {
+// dropDetails removes the steps and the text of a job that has ended, once no
+// run of it is left on a worker.
+func (st *state) dropDetails(js *JobState) {
 	if !js.Phase.Terminal() || js.Placed > 0 {
 		return
 	}
@@ -239,28 +245,28 @@
 			delete(st.Jobs, id)
 		}
 	}
-	return taken
+	return applied
 }
 
 func (st *state) applyStart(at time.Time, sa *RunStart) Result {
 	js := st.Jobs[sa.Task.Job]
 	if js == nil || js.Phase.Terminal() {
-		return refused("job is over")
+		return refused("job has ended")
 	}
 	tk := js.Task(sa.Task)
 	wk := st.Workers[sa.Worker]
 	switch {
 	case tk == nil:
 		return refused("no such task")
-	case tk.Done || !follows(js.Spec.Steps[sa.Task.Step], tk.Run, sa.Run):
+	case tk.Done || !isNextRun(js.Spec.Steps[sa.Task.Step], tk.Run, sa.Run):
 		return refused("not the next run")
 	case tk.Placed():
-		// Also where copies are allowed: they are not placed yet.
-		return refused("a run is not over")
+		// Speculative runs are not supported yet, so this applies to all steps.
+		return refused("the previous run has not ended")
 	case wk == nil || wk.Incarnation != sa.Incarnation:
-		return refused("worker is gone")
+		return refused("worker incarnation is not registered")
 	case wk.Draining:
-		return refused("worker drains")
+		return refused("worker is draining")
 	case !js.StepReady(sa.Task.Occurrence, sa.Task.Step):
 		return refused("an earlier step is not done")
 	}
@@ -268,47 +274,47 @@
 	js.Placed++
 	st.addRun(js, sa.Task, tk)
 	if !js.Started {
-		st.leaveQueue(js)
+		st.removeFromQueue(js)
 		js.Started = true
 		js.Phase = Running
 	}
-	return taken
+	return applied
 }
 
 func (st *state) applyEnd(at time.Time, en *RunEnd) Result {
 	js := st.Jobs[en.Task.Job]
 	if js == nil || js.Occurrences == nil {
-		return refused("job is over")
+		return refused("job has ended")
 	}
 	tk := js.Task(en.Task)
 	if tk == nil || tk.Run != en.Run || !tk.Placed() {
-		return refused("not the present run")
+		return refused("not the current run")
 	}
-	st.free(at, js, en.Task, tk)
+	st.releaseTask(at, js, en.Task, tk)
 	if en.Checkpoint != "" {
 		tk.Checkpoint = en.Checkpoint
 	}
 	step := js.Spec.Steps[en.Task.Step]
 	switch {
 	case tk.Done:
-		// Another member's end stood for the whole gang.
+		// The end of another member already completed the whole gang.
 	case en.Reason == EndDone && !step.LongRunning:
 		st.taskDone(at, js, en.Task, tk, step)
 	case en.Reason == EndFailed && !step.LongRunning:
 		st.taskFailed(at, js, en, tk, step)
 	}
-	st.settle(js)
-	return taken
+	st.dropDetails(js)
+	return applied
 }
 
-// follows reports whether a run may follow another. The members of a gang
-// share their run's number, so one of them may skip some.
-func follows(step spec.Step, last, next int) bool {
+// isNextRun reports whether run number next may follow last. The members of a
+// gang share one run number, so a member may skip numbers.
+func isNextRun(step spec.Step, last, next int) bool {
 	return next == last+1 || (step.Gang && next > last)
 }
 
-// taskFailed counts a failure. A gang fails once a run, however many of its
-// members say so.
+// taskFailed counts a failed run and fails the job after the last attempt. A
+// gang counts one failure per run, however many of its members report one.
 func (st *state) taskFailed(at time.Time, js *JobState, en *RunEnd, tk *Task, step spec.Step) {
 	if step.Gang {
 		tk = &js.Occurrences[en.Task.Occurrence][en.Task.Step].Tasks[0]
@@ -320,12 +326,12 @@
 	tk.Failures++
 	qu, ok := st.Queues[js.Spec.Queue]
 	if ok && tk.Failures >= max(qu.MaxAttempts, 1) && !js.Phase.Terminal() {
-		st.end(at, js, Failed)
+		st.endJob(at, js, Failed)
 	}
 }
 
-func (st *state) free(at time.Time, js *JobState, rf spec.TaskRef, tk *Task) {
-	st.dropRun(js, rf, tk)
+func (st *state) releaseTask(at time.Time, js *JobState, rf spec.TaskRef, tk *Task) {
+	st.removeRun(js, rf, tk)
 	tk.Worker, tk.Incarnation, tk.EndedAt = "", 0, at
 	js.Placed--
 }
@@ -333,7 +339,8 @@
 func (st *state) taskDone(at time.Time, js *JobState, rf spec.TaskRef, tk *Task, step spec.Step) {
 	ss := &js.Occurrences[rf.Occurrence][rf.Step]
 	if step.Gang {
-		// One end stands for all members; those still listed end by themselves.
+		// The end of one member completes the gang. The runs of the other members
+		// stay listed until their own ends are recorded.
 		for ix := range ss.Tasks {
 			ss.Tasks[ix].Done = true
 		}
@@ -350,6 +357,6 @@
 	}
 	js.OccurrencesLeft--
 	if js.OccurrencesLeft == 0 && !js.Phase.Terminal() {
-		st.end(at, js, Done)
+		st.endJob(at, js, Done)
 	}
 }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -17,7 +17,7 @@
 
 var testNow = time.Unix(1_800_000_000, 0).UTC()
 
-// fixture is a store with one queue, its pool's workers and a job.
+// fixture is a store with one queue and three workers in its pool.
 type fixture struct {
 	t     require.TestingT
 	sr    *Store
@@ -26,12 +26,12 @@
 
 func newFixture(t require.TestingT) *fixture {
 	fx := &fixture{t: t, sr: New()}
-	fx.taken(Change{Catalog: packed(t, catalog.Catalog{
+	fx.mustApply(Change{Catalog: packed(t, catalog.Catalog{
 		Version: 1, Pools: []catalog.Pool{{Name: "desk"}},
 		Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Pool: "desk", Timeout: time.Second, MaxAttempts: 2}},
 	})})
 	for ix := range 3 {
-		fx.taken(Change{Join: testWorker(ix, 1)})
+		fx.mustApply(Change{Join: testWorker(ix, 1)})
 	}
 	return fx
 }
@@ -58,19 +58,19 @@
 	return answers[0]
 }
 
-func (fx *fixture) taken(ch Change) {
+func (fx *fixture) mustApply(ch Change) {
 	ans := fx.apply(ch)
 	require.True(fx.t, ans.Applied, "%+v: %s", ch, ans.Reason)
 }
 
-func (fx *fixture) refused(ch Change, reason string) {
+func (fx *fixture) mustRefuse(ch Change, reason string) {
 	ans := fx.apply(ch)
 	require.False(fx.t, ans.Applied)
 	require.Equal(fx.t, reason, ans.Reason)
 }
 
 func (fx *fixture) submit(id string, steps ...spec.Step) {
-	fx.taken(Change{Submit: &spec.Job{ID: spec.JobID(id), Queue: "h/q/", Text: "text", Steps: steps}})
+	fx.mustApply(Change{Submit: &spec.Job{ID: spec.JobID(id), Queue: "h/q/", Text: "text", Steps: steps}})
 }
 
 func (fx *fixture) phase(id string) Phase {
@@ -89,192 +89,193 @@
 	return Change{End: &RunEnd{Task: spec.TaskRef{Job: spec.JobID(job), Step: step, Index: index}, Run: run, Reason: how}}
 }
 
-var one = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
+var singleTask = spec.Step{Count: 1, Resources: spec.Resources{MilliCPU: 1000}}
 
 func TestStepsRunInOrder(t *testing.T) {
 	fx := newFixture(t)
-	second := one
+	second := singleTask
 	second.After = []int{0}
-	fx.submit("a", one, second)
+	fx.submit("a", singleTask, second)
 	require.Equal(t, Queued, fx.phase("a"))
-	fx.refused(start("a", 1, 0, 1, 0), "an earlier step is not done")
-	fx.taken(start("a", 0, 0, 1, 0))
+	fx.mustRefuse(start("a", 1, 0, 1, 0), "an earlier step is not done")
+	fx.mustApply(start("a", 0, 0, 1, 0))
 	require.Equal(t, Running, fx.phase("a"))
-	fx.refused(start("a", 1, 0, 1, 0), "an earlier step is not done")
-	fx.taken(end("a", 0, 0, 1, EndDone))
-	fx.taken(start("a", 1, 0, 1, 1))
-	fx.taken(end("a", 1, 0, 1, EndDone))
+	fx.mustRefuse(start("a", 1, 0, 1, 0), "an earlier step is not done")
+	fx.mustApply(end("a", 0, 0, 1, EndDone))
+	fx.mustApply(start("a", 1, 0, 1, 1))
+	fx.mustApply(end("a", 1, 0, 1, EndDone))
 	require.Equal(t, Done, fx.phase("a"))
 }
 
 func TestOneRunAtATime(t *testing.T) {
 	fx := newFixture(t)
-	fx.submit("a", one)
-	fx.refused(start("a", 0, 0, 2, 0), "not the next run")
-	fx.taken(start("a", 0, 0, 1, 0))
-	fx.refused(start("a", 0, 0, 2, 1), "a run is not over")
-	fx.taken(end("a", 0, 0, 1, EndLost))
-	fx.taken(start("a", 0, 0, 2, 1))
-	fx.refused(end("a", 0, 0, 1, EndDone), "not the present run")
-	fx.taken(end("a", 0, 0, 2, EndDone))
-	fx.refused(start("a", 0, 0, 3, 1), "job is over")
+	fx.submit("a", singleTask)
+	fx.mustRefuse(start("a", 0, 0, 2, 0), "not the next run")
+	fx.mustApply(start("a", 0, 0, 1, 0))
+	fx.mustRefuse(start("a", 0, 0, 2, 1), "the previous run has not ended")
+	fx.mustApply(end("a", 0, 0, 1, EndLost))
+	fx.mustApply(start("a", 0, 0, 2, 1))
+	fx.mustRefuse(end("a", 0, 0, 1, EndDone), "not the current run")
+	fx.mustApply(end("a", 0, 0, 2, EndDone))
+	fx.mustRefuse(start("a", 0, 0, 3, 1), "job has ended")
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
 	fx := newFixture(t)
-	fx.submit("a", one)
+	fx.submit("a", singleTask)
 	for run := 1; run <= 2; run++ {
-		fx.taken(start("a", 0, 0, run, 0))
-		fx.taken(end("a", 0, 0, run, EndFailed))
+		fx.mustApply(start("a", 0, 0, run, 0))
+		fx.mustApply(end("a", 0, 0, run, EndFailed))
 	}
 	require.Equal(t, Failed, fx.phase("a"))
 
 	fx.submit("lasting", spec.Step{Count: 1, LongRunning: true})
 	for run := 1; run <= 5; run++ {
-		fx.taken(start("lasting", 0, 0, run, 0))
-		fx.taken(end("lasting", 0, 0, run, EndFailed))
+		fx.mustApply(start("lasting", 0, 0, run, 0))
+		fx.mustApply(end("lasting", 0, 0, run, EndFailed))
 	}
-	require.Equal(t, Running, fx.phase("lasting"), "lasting tasks are started again however they end")
+	require.Equal(t, Running, fx.phase("lasting"), "long-running tasks are restarted whatever the reason of their end")
 
-	fx.submit("unlucky", one)
+	fx.submit("unlucky", singleTask)
 	for run := 1; run <= 5; run++ {
-		fx.taken(start("unlucky", 0, 0, run, 0))
-		fx.taken(end("unlucky", 0, 0, run, EndLost))
+		fx.mustApply(start("unlucky", 0, 0, run, 0))
+		fx.mustApply(end("unlucky", 0, 0, run, EndLost))
 	}
-	require.Equal(t, Running, fx.phase("unlucky"), "only failures count")
+	require.Equal(t, Running, fx.phase("unlucky"), "only failed runs count as attempts")
 }
 
 func TestCancelledJobKeepsItsRunsUntilTheyAreOver(t *testing.T) {
 	fx := newFixture(t)
-	fx.submit("a", one)
-	fx.taken(start("a", 0, 0, 1, 0))
+	fx.submit("a", singleTask)
+	fx.mustApply(start("a", 0, 0, 1, 0))
 	id := spec.JobID("a")
-	fx.taken(Change{Cancel: &id})
+	fx.mustApply(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"))
 	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1) })
-	fx.taken(end("a", 0, 0, 1, EndStopped))
+	fx.mustApply(end("a", 0, 0, 1, EndStopped))
 	fx.sr.Read(func(rd Reader) {
 		require.Empty(t, rd.Runs("w0"))
 		require.Nil(t, rd.Job("a").Occurrences)
 	})
-	fx.taken(Change{Cancel: &id})
-	require.Equal(t, Cancelled, fx.phase("a"), "again is no error")
+	fx.mustApply(Change{Cancel: &id})
+	require.Equal(t, Cancelled, fx.phase("a"), "cancelling twice is no error")
 }
 
-func TestLivesOfWorkers(t *testing.T) {
+func TestWorkerIncarnations(t *testing.T) {
 	fx := newFixture(t)
 	fx.submit("a", spec.Step{Count: 3, Resources: spec.Resources{MilliCPU: 1000}})
 	for ix := range 3 {
-		fx.taken(start("a", 0, ix, 1, ix))
+		fx.mustApply(start("a", 0, ix, 1, ix))
 	}
-	fx.refused(Change{Join: testWorker(0, 0)}, "an earlier life")
-	// Another id on the same machine: the old life is over, and its run.
+	fx.mustRefuse(Change{Join: testWorker(0, 0)}, "an earlier life")
+	// Another id on the same machine removes the old worker and loses its run.
 	fresh := testWorker(0, 5)
 	fresh.ID, fresh.Address = "w9", "addr9"
-	fx.taken(Change{Join: fresh})
+	fx.mustApply(Change{Join: fresh})
 	fx.sr.Read(func(rd Reader) {
 		_, ok := rd.Worker("w0")
 		require.False(t, ok)
 		require.False(t, rd.Job("a").Task(spec.TaskRef{Job: "a"}).Placed())
 	})
-	// The same id again: what ran there is uncertain, so it stays placed.
-	fx.taken(Change{Join: testWorker(1, 5)})
+	// A new incarnation of the same id may still receive the run's start order,
+	// so the run stays placed.
+	fx.mustApply(Change{Join: testWorker(1, 5)})
 	fx.sr.Read(func(rd Reader) {
 		tk := rd.Job("a").Task(spec.TaskRef{Job: "a", Index: 1})
 		require.True(t, tk.Placed())
 		require.Equal(t, int64(5), tk.Incarnation)
 	})
-	fx.refused(Change{Leave: &WorkerLeave{ID: "w1", Incarnation: 1}}, "not the present life")
-	fx.taken(Change{Leave: &WorkerLeave{ID: "w2", Incarnation: 1}})
-	fx.refused(start("a", 0, 2, 2, 2), "worker is gone")
+	fx.mustRefuse(Change{Leave: &WorkerLeave{ID: "w1", Incarnation: 1}}, "not the current incarnation")
+	fx.mustApply(Change{Leave: &WorkerLeave{ID: "w2", Incarnation: 1}})
+	fx.mustRefuse(start("a", 0, 2, 2, 2), "worker incarnation is not registered")
 	draining := testWorker(1, 5)
 	draining.Draining = true
-	fx.taken(Change{Join: draining})
-	fx.refused(Change{Start: &RunStart{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Incarnation: 5}}, "worker drains")
-	// Word from before the drain comes late, perhaps to a later leader.
+	fx.mustApply(Change{Join: draining})
+	fx.mustRefuse(Change{Start: &RunStart{Task: spec.TaskRef{Job: "a", Index: 2}, Run: 2, Worker: "w1", Incarnation: 5}}, "worker is draining")
+	// A delayed announcement from before the drain is refused.
 	draining.Sequence = 7
-	fx.taken(Change{Join: draining})
-	fx.refused(Change{Join: testWorker(1, 5)}, "earlier word of this life")
+	fx.mustApply(Change{Join: draining})
+	fx.mustRefuse(Change{Join: testWorker(1, 5)}, "earlier word of this life")
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsRefused(t *testing.T) {
 	fx := newFixture(t)
-	fx.taken(Change{Catalog: packed(t, catalog.Catalog{Version: 7, Document: []byte("seven")})})
-	fx.refused(Change{Catalog: packed(t, catalog.Catalog{Version: 7, Document: []byte("other")})}, "version is not newer")
-	fx.refused(Change{Catalog: packed(t, catalog.Catalog{Version: 3})}, "version is not newer")
+	fx.mustApply(Change{Catalog: packed(t, catalog.Catalog{Version: 7, Document: []byte("seven")})})
+	fx.mustRefuse(Change{Catalog: packed(t, catalog.Catalog{Version: 7, Document: []byte("other")})}, "version is not newer")
+	fx.mustRefuse(Change{Catalog: packed(t, catalog.Catalog{Version: 3})}, "version is not newer")
 	fx.sr.Read(func(rd Reader) { require.Equal(t, "seven", string(rd.Catalog().Document)) })
 }
 
 func TestWaves(t *testing.T) {
 	fx := newFixture(t)
-	fx.taken(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, MaxParallel: 1}})
+	fx.mustApply(Change{Wave: &Wave{Number: 1, Machines: []string{"m0", "gone"}, MaxParallel: 1}})
 	done := func() (done bool) {
 		fx.sr.Read(func(rd Reader) { done = rd.Waves()[1].AllStarted() })
 		return done
 	}
-	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1}})
-	fx.refused(Change{Machine: &MachineOperation{Machine: "m0", Pool: "desk"}}, "an operation is under way")
-	fx.taken(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Started: true}})
+	fx.mustApply(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1}})
+	fx.mustRefuse(Change{Machine: &MachineOperation{Machine: "m0", Pool: "desk"}}, "an operation is in progress")
+	fx.mustApply(Change{Machine: &MachineOperation{Machine: "m0", Wave: 1, Started: true}})
 	require.False(t, done())
-	fx.taken(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, NotExecuted: true}})
-	require.True(t, done(), "a machine that is not there holds nothing up")
+	fx.mustApply(Change{Machine: &MachineOperation{Machine: "gone", Wave: 1, NotExecuted: true}})
+	require.True(t, done(), "a machine that the platform does not know does not block the wave")
 	require.Equal(t, "known", fx.apply(Change{Wave: &Wave{Number: 1}}).Reason)
 }
 
 func TestGangEndsTogether(t *testing.T) {
 	fx := newFixture(t)
 	fx.submit("a", spec.Step{Count: 2, Gang: true})
-	fx.taken(start("a", 0, 0, 1, 0))
-	fx.taken(start("a", 0, 1, 1, 1))
-	fx.taken(end("a", 0, 1, 1, EndDone))
-	require.Equal(t, Done, fx.phase("a"), "one end stands for all")
-	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1, "the other is still to be seen off") })
+	fx.mustApply(start("a", 0, 0, 1, 0))
+	fx.mustApply(start("a", 0, 1, 1, 1))
+	fx.mustApply(end("a", 0, 1, 1, EndDone))
+	require.Equal(t, Done, fx.phase("a"), "the end of one member completes the gang")
+	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1, "the run of the other member has not ended yet") })
 }
 
-func TestGangFailsOnceARun(t *testing.T) {
+func TestGangFailureCountsOncePerRun(t *testing.T) {
 	fx := newFixture(t)
 	fx.submit("a", spec.Step{Count: 2, Gang: true, Checkpointing: true})
 	for run := 1; run <= 2; run++ {
-		fx.taken(start("a", 0, 0, run, 0))
-		fx.taken(start("a", 0, 1, run, 1))
+		fx.mustApply(start("a", 0, 0, run, 0))
+		fx.mustApply(start("a", 0, 1, run, 1))
 		require.Equal(t, Running, fx.phase("a"))
-		fx.taken(end("a", 0, 0, run, EndFailed))
+		fx.mustApply(end("a", 0, 0, run, EndFailed))
 		if run == 1 {
-			fx.taken(end("a", 0, 1, run, EndFailed))
+			fx.mustApply(end("a", 0, 1, run, EndFailed))
 		}
 	}
 	require.Equal(t, Failed, fx.phase("a"), "two runs have failed")
 
 	fx.submit("b", spec.Step{Count: 2, Gang: true, Checkpointing: true})
-	fx.taken(start("b", 0, 0, 1, 0))
-	fx.taken(Change{End: &RunEnd{Task: spec.TaskRef{Job: "b"}, Run: 1, Reason: EndBroken, Checkpoint: "here"}})
-	fx.taken(start("b", 0, 0, 2, 0))
-	fx.taken(start("b", 0, 1, 2, 1))
+	fx.mustApply(start("b", 0, 0, 1, 0))
+	fx.mustApply(Change{End: &RunEnd{Task: spec.TaskRef{Job: "b"}, Run: 1, Reason: EndBroken, Checkpoint: "here"}})
+	fx.mustApply(start("b", 0, 0, 2, 0))
+	fx.mustApply(start("b", 0, 1, 2, 1))
 	fx.sr.Read(func(rd Reader) {
-		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.TaskRef{Job: "b", Index: 1}), "all resume from the same")
+		require.Equal(t, "here", rd.Job("b").Checkpoint(spec.TaskRef{Job: "b", Index: 1}), "all members resume from the same checkpoint")
 	})
 }
 
-// TestGangOfSeveralOccurrences ends each member of the first occurrence's gang,
-// which must not count for the occurrences after it.
+// TestGangOfSeveralOccurrences guards against ends of single gang members that
+// are counted as ends of later occurrences.
 func TestGangOfSeveralOccurrences(t *testing.T) {
 	fx := newFixture(t)
-	fx.taken(Change{Submit: &spec.Job{
+	fx.mustApply(Change{Submit: &spec.Job{
 		ID: "a", Queue: "h/q/", OccurrenceCount: 3, StartAt: testNow, Every: time.Second, Steps: []spec.Step{{Count: 3, Gang: true}},
 	}})
 	for ix := range 3 {
-		fx.taken(start("a", 0, ix, 1, ix))
+		fx.mustApply(start("a", 0, ix, 1, ix))
 	}
 	for ix := range 3 {
-		fx.taken(end("a", 0, ix, 1, EndDone))
+		fx.mustApply(end("a", 0, ix, 1, EndDone))
 	}
 	require.Equal(t, Running, fx.phase("a"))
 	fx.sr.Read(func(rd Reader) { require.Equal(t, 2, rd.Job("a").OccurrencesLeft) })
 }
 
-// TestRandomChanges applies changes at random and checks after each that no
-// finished task is placed, that no task is at two workers, that the indexes
-// say what the tasks say, and that a snapshot holds all of it.
+// TestRandomChanges applies random changes. It checks after each one that no
+// finished task is placed, that no task is on two workers and that the indexes
+// match the tasks, and at the end that a snapshot restores the same state.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fx := newFixture(rt)
@@ -317,24 +318,24 @@
 	placed := map[weir.InstanceID]int{}
 	for id, js := range st.Jobs {
 		count := 0
-		for oc, round := range js.Occurrences {
-			for sp := range round {
+		for oc, steps := range js.Occurrences {
+			for sp := range steps {
 				left := 0
-				for ix := range round[sp].Tasks {
-					tk := &round[sp].Tasks[ix]
+				for ix := range steps[sp].Tasks {
+					tk := &steps[sp].Tasks[ix]
 					if !tk.Done {
 						left++
 					}
 					if !tk.Placed() {
 						continue
 					}
-					require.False(t, tk.Done, "a finished task is placed")
+					require.False(t, tk.Done, "a task that is done must not be placed")
 					count++
 					placed[tk.Worker]++
 					key := RunKey{Task: spec.TaskRef{Job: id, Occurrence: oc, Step: sp, Index: ix}, Run: tk.Run}
 					require.Contains(t, st.Runs[tk.Worker], key)
 				}
-				require.Equal(t, left, round[sp].TasksLeft)
+				require.Equal(t, left, steps[sp].TasksLeft)
 			}
 		}
 		require.Equal(t, count, js.Placed)
@@ -344,13 +345,13 @@
 		require.Len(t, runs, placed[id])
 		load := WorkerLoad{}
 		for key := range runs {
-			load = load.with(st.Jobs[key.Task.Job].Spec.Steps[key.Task.Step], 1)
+			load = load.add(st.Jobs[key.Task.Job].Spec.Steps[key.Task.Step], 1)
 		}
 		require.Equal(t, load, st.Loads[id])
 	}
 }
 
-func TestUnreadableEntryChangesNothing(t *testing.T) {
+func TestUnreadableSnapshotChangesNothing(t *testing.T) {
 	fx := newFixture(t)
 	require.Error(t, fx.sr.Restore(9, []byte("{")))
 	data, err := json.Marshal(fx.sr.st)
--- a/internal/job/store/workers.go
+++ b/internal/job/store/workers.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// applyJoin records a worker. A later life of the same id, or on the same
-// machine or address, ends the earlier one; what ran there is then uncertain
-// only where the id is the same, and the leader asks the new life about it.
+// applyJoin records a worker and removes every older worker on the same machine
+// or address, whose runs are lost. A later incarnation of the same id takes over
+// the runs instead, since the leader can ask it which of them still run.
 func (st *state) applyJoin(at time.Time, wk *Worker) Result {
 	old := st.Workers[wk.ID]
 	if old != nil && old.Incarnation > wk.Incarnation {
@@ -23,20 +23,20 @@
 		if other.Incarnation > wk.Incarnation {
 			return refused("another worker has its place")
 		}
-		st.endLife(at, other)
+		st.removeWorker(at, other)
 	}
 	if old != nil && old.Incarnation != wk.Incarnation {
-		st.moveRuns(old, wk)
+		st.reassignRuns(old, wk)
 	}
 	fresh := *wk
 	st.Workers[wk.ID] = &fresh
-	st.WorkerChanges++
-	return taken
+	st.WorkerRevision++
+	return applied
 }
 
-// moveRuns ties the runs of an earlier life to the new life of the same id,
-// since an order that was under way may reach the new life.
-func (st *state) moveRuns(old, wk *Worker) {
+// reassignRuns moves the runs of an earlier incarnation to the new incarnation of
+// the same id, since a start order in transit may reach the new incarnation.
+func (st *state) reassignRuns(old, wk *Worker) {
 	for key := range st.Runs[old.ID] {
 		if tk := st.Jobs[key.Task.Job].Task(key.Task); tk != nil {
 			tk.Incarnation = wk.Incarnation
@@ -47,14 +47,14 @@
 func (st *state) applyLeave(at time.Time, lv *WorkerLeave) Result {
 	wk := st.Workers[lv.ID]
 	if wk == nil || wk.Incarnation != lv.Incarnation {
-		return refused("not the present life")
+		return refused("not the current incarnation")
 	}
-	st.endLife(at, wk)
-	return taken
+	st.removeWorker(at, wk)
+	return applied
 }
 
-// endLife drops a worker; its runs are over.
-func (st *state) endLife(at time.Time, wk *Worker) {
+// removeWorker removes a worker and records its runs as lost.
+func (st *state) removeWorker(at time.Time, wk *Worker) {
 	keys := make([]RunKey, 0, len(st.Runs[wk.ID]))
 	for key := range st.Runs[wk.ID] {
 		keys = append(keys, key)
@@ -65,7 +65,7 @@
 	delete(st.Workers, wk.ID)
 	delete(st.Runs, wk.ID)
 	delete(st.Loads, wk.ID)
-	st.WorkerChanges++
+	st.WorkerRevision++
 }
 
 func (st *state) applyWave(wv *Wave) Result {
@@ -75,34 +75,34 @@
 	fresh := *wv
 	fresh.Started = map[string]bool{}
 	st.Waves[wv.Number] = &fresh
-	return taken
+	return applied
 }
 
 func (st *state) applyMachine(op *MachineOperation) Result {
 	if !op.Started && !op.NotExecuted {
-		if st.Orders[op.Machine] != nil {
-			return refused("an operation is under way")
+		if st.MachineOperations[op.Machine] != nil {
+			return refused("an operation is in progress")
 		}
 		fresh := *op
-		st.Orders[op.Machine] = &fresh
-		return taken
+		st.MachineOperations[op.Machine] = &fresh
+		return applied
 	}
-	delete(st.Orders, op.Machine)
-	// A machine that the platform does not know, or not as part of the wave,
-	// holds the wave up no longer.
+	delete(st.MachineOperations, op.Machine)
+	// An operation that the platform did not execute counts as started too, so
+	// that a machine that the platform does not know cannot block the wave.
 	if wv := st.Waves[op.Wave]; wv != nil {
 		wv.Started[op.Machine] = true
 	}
-	return taken
+	return applied
 }
 
-// Reader reads one consistent state, for the time of Store.Read.
+// Reader gives access to one consistent state for the duration of Store.Read.
 type Reader struct {
 	st *state
 	sr *Store
 }
 
-// Read calls a function with the present state; it must not block.
+// Read calls read with the current state; read must not block.
 func (sr *Store) Read(read func(rd Reader)) {
 	sr.mu.RLock()
 	defer sr.mu.RUnlock()
