--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -1,5 +1,6 @@
-// Package spec holds what callers ask for when they submit a job: steps of
-// tasks with needs, order and limits. Values are not changed once made.
+// Package spec defines the specification of a job as callers submit it: steps of
+// identical tasks with resources, dependencies and limits. Treat the values as
+// immutable.
 //
 // Usage:
 //
@@ -18,92 +19,98 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid says that a job cannot be accepted as it is.
+// KindInvalid means that a job specification is invalid.
 const KindInvalid Kind = "job is not valid"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// The bounds of one job. They keep a job within one entry of the log.
+// The limits of one job, which keep it small enough for one entry of the
+// replicated log.
 const (
-	// MaxText is the length of the text that a caller hands in, in bytes.
+	// MaxText is the maximum length of Job.Text in bytes.
 	MaxText = 4000
-	// MaxSteps and MaxTasks bound the book-keeping of one job.
+	// MaxSteps and MaxTasks limit the state kept for one job; MaxTasks applies to
+	// one occurrence.
 	MaxSteps = 256
 	MaxTasks = 10_000
-	// MaxOccurrences bounds the occurrences of one job.
+	// MaxOccurrences limits the occurrences of one job.
 	MaxOccurrences = 10_000
 )
 
-// JobID is the caller's name of a job.
+// JobID is the id that the caller gave to a job.
 type JobID = weir.JobID
 
-// TaskRef names one task of a job.
+// TaskRef identifies one task of a job.
 type TaskRef = weir.TaskRef
 
-// Resources is what one task needs of a worker.
+// Resources is an amount of resources: the request of one task, or the total or
+// free capacity of a worker.
 type Resources struct {
-	// MilliCPU is in thousandths of a core.
+	// MilliCPU is in thousandths of a core, MemoryMB in megabytes, GPU in devices.
 	MilliCPU int `json:"cpu,omitempty"`
 	MemoryMB int `json:"mem,omitempty"`
 	GPU      int `json:"gpu,omitempty"`
 }
 
-// Plus returns the sum of two needs.
-func (nd Resources) Plus(other Resources) Resources {
-	return Resources{MilliCPU: nd.MilliCPU + other.MilliCPU, MemoryMB: nd.MemoryMB + other.MemoryMB, GPU: nd.GPU + other.GPU}
+// Plus returns the sum of two amounts.
+func (rs Resources) Plus(other Resources) Resources {
+	return Resources{MilliCPU: rs.MilliCPU + other.MilliCPU, MemoryMB: rs.MemoryMB + other.MemoryMB, GPU: rs.GPU + other.GPU}
 }
 
-// Minus returns the difference of two needs.
-func (nd Resources) Minus(other Resources) Resources {
-	return Resources{MilliCPU: nd.MilliCPU - other.MilliCPU, MemoryMB: nd.MemoryMB - other.MemoryMB, GPU: nd.GPU - other.GPU}
+// Minus returns the difference of two amounts.
+func (rs Resources) Minus(other Resources) Resources {
+	return Resources{MilliCPU: rs.MilliCPU - other.MilliCPU, MemoryMB: rs.MemoryMB - other.MemoryMB, GPU: rs.GPU - other.GPU}
 }
 
-// Fits reports whether the need is within the room.
-func (nd Resources) Fits(room Resources) bool {
-	return nd.MilliCPU <= room.MilliCPU && nd.MemoryMB <= room.MemoryMB && nd.GPU <= room.GPU
+// Fits reports whether each resource is within the given free capacity.
+func (rs Resources) Fits(free Resources) bool {
+	return rs.MilliCPU <= free.MilliCPU && rs.MemoryMB <= free.MemoryMB && rs.GPU <= free.GPU
 }
 
-// Step is a set of alike tasks.
+// Step is a set of identical tasks.
 type Step struct {
-	Count     int       `json:"count"`
+	Count int `json:"count"`
+	// Resources is the request of one task.
 	Resources Resources `json:"need"`
-	// Estimate is the caller's rough figure for one task's duration.
+	// Estimate is the caller's rough estimate of the duration of one task.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists earlier steps that must be done first.
+	// After holds the indexes of earlier steps that must be done before this one
+	// starts.
 	After []int `json:"after,omitempty"`
-	// Checkpointing tasks can resume from where they were.
+	// Checkpointing tasks can resume from their last checkpoint.
 	Checkpointing bool `json:"checkpointing,omitempty"`
-	// Gang tasks run only together.
+	// Gang tasks can run only all at the same time (gang scheduling).
 	Gang bool `json:"gang,omitempty"`
-	// OneRack tasks are slower on more than one rack.
+	// OneRack tasks run slower if they are spread over several racks.
 	OneRack bool `json:"oneRack,omitempty"`
-	// Label is one that the worker must have.
+	// Label is a label that the worker must have; empty allows any worker.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack where the data is.
+	// DataRack is the rack that holds the input data.
 	DataRack string `json:"dataRack,omitempty"`
-	// MaxPerWorker bounds the step's tasks on one worker; 0 is no bound.
+	// MaxPerWorker limits the step's tasks on one worker; 0 is no limit.
 	MaxPerWorker int `json:"maxPerWorker,omitempty"`
-	// Speculative allows a task to run more than once at a time.
+	// Speculative allows concurrent runs of one task.
 	Speculative bool `json:"copies,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool `json:"lasting,omitempty"`
-	// Image names the program; tasks of one image behave alike.
+	// Image names the program. Tasks of the same image behave alike.
 	Image string `json:"image,omitempty"`
-	// TargetLatency is the response time that a lasting task's users want.
+	// TargetLatency is the response time that the users of a long-running task
+	// expect.
 	TargetLatency time.Duration `json:"target,omitempty"`
-	// BestEffort tasks use the processor that others leave; their MilliCPU does
-	// not count against a worker.
+	// BestEffort tasks use idle processor time; their MilliCPU is not reserved on
+	// the worker.
 	BestEffort bool `json:"filling,omitempty"`
-	// MaxUnavailable bounds the lasting tasks that planned work may make unavailable
-	// at a time; 0 is no bound.
+	// MaxUnavailable limits the long-running tasks that maintenance and moves may
+	// make unavailable at a time; 0 is no limit.
 	MaxUnavailable int `json:"maxAway,omitempty"`
 }
 
-// Reserved is the need that counts against a worker's room.
+// Reserved returns the resources that one task reserves on its worker.
 func (st Step) Reserved() Resources {
 	if st.BestEffort {
 		return Resources{MemoryMB: st.Resources.MemoryMB, GPU: st.Resources.GPU}
@@ -111,30 +118,32 @@
 	return st.Resources
 }
 
-// MinWorkers is the number of workers that the step's tasks should be on, so that
-// each worker may go without more tasks away than allowed; 0 is no wish.
+// MinWorkers returns the number of workers that the step's tasks should be spread
+// over, so that no worker holds more tasks than MaxPerWorker or MaxUnavailable;
+// 0 means that any number will do.
 func (st Step) MinWorkers() int {
-	most := st.MaxPerWorker
-	if st.MaxUnavailable > 0 && (most == 0 || st.MaxUnavailable < most) {
-		most = st.MaxUnavailable
+	limit := st.MaxPerWorker
+	if st.MaxUnavailable > 0 && (limit == 0 || st.MaxUnavailable < limit) {
+		limit = st.MaxUnavailable
 	}
-	if most == 0 {
+	if limit == 0 {
 		return 0
 	}
-	return (st.Count + most - 1) / most
+	return (st.Count + limit - 1) / limit
 }
 
 // Job is what a caller submitted.
 type Job struct {
 	ID JobID `json:"id"`
-	// Queue is the key of the queue it was submitted to.
+	// Queue is the key of the queue that the job was submitted to.
 	Queue string `json:"queue"`
-	// Text is handed to each task as it is.
+	// Text is passed unchanged to each task.
 	Text  string `json:"text"`
 	Steps []Step `json:"steps"`
-	// OccurrenceCount is how often the steps run; 0 means once, at once.
+	// OccurrenceCount is how often the steps run; 0 means once and immediately.
 	OccurrenceCount int `json:"times,omitempty"`
-	// StartAt is the due time of occurrence 0; Every separates them.
+	// StartAt is the due time of occurrence 0, Every the time between two
+	// occurrences.
 	StartAt time.Time     `json:"startAt,omitzero"`
 	Every   time.Duration `json:"every,omitempty"`
 }
@@ -142,7 +151,7 @@
 // Occurrences returns how often the steps run, at least 1.
 func (jb Job) Occurrences() int { return max(jb.OccurrenceCount, 1) }
 
-// DueAt returns when an occurrence is due; the zero time is at once.
+// DueAt returns when an occurrence is due; the zero time means immediately.
 func (jb Job) DueAt(occurrence int) time.Time {
 	if jb.OccurrenceCount == 0 {
 		return time.Time{}
@@ -150,7 +159,7 @@
 	return jb.StartAt.Add(time.Duration(occurrence) * jb.Every)
 }
 
-// LongRunning reports whether the job runs until it is cancelled.
+// LongRunning reports whether the job has a step that runs until cancelled.
 func (jb Job) LongRunning() bool {
 	for _, st := range jb.Steps {
 		if st.LongRunning {
@@ -169,7 +178,7 @@
 	return count
 }
 
-// Check reports the first thing that is wrong with the job.
+// Check returns an error of KindInvalid for the first problem of the job.
 func (jb Job) Check() error {
 	if len(jb.Text) > MaxText {
 		return invalid("text has %d bytes, at most %d", len(jb.Text), MaxText)
