--- a/internal/job/handler/catalog.go
+++ b/internal/job/handler/catalog.go
@@ -8,22 +8,22 @@
 	"greengageweir/internal/job/store"
 )
 
-// held is the version of the configuration that this process holds. It is
-// committed.
-func (sv *Handler) held() int64 {
+// committedVersion returns the version of the configuration in this replica,
+// which is a committed one.
+func (sv *Handler) committedVersion() int64 {
 	version := int64(0)
 	sv.Store.Read(func(rd store.Reader) { version = rd.Packed().Version })
 	return version
 }
 
-// takeCatalog checks and packs a configuration before it is passed on. A
-// version that is not newer than a committed one changes nothing, whoever
-// leads, and needs no leader.
-func (sv *Handler) takeCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
+// receiveCatalog checks and packs a configuration before it is routed to the
+// leader. A version that is not newer than a committed one changes nothing, so
+// it is acknowledged without a leader.
+func (sv *Handler) receiveCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if err := call.Catalog.Check(); err != nil {
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: err.Error()}
 	}
-	if call.Catalog.Version <= sv.held() {
+	if call.Catalog.Version <= sv.committedVersion() {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "version is not newer"}
 	}
 	packed, err := call.Catalog.Pack()
@@ -31,12 +31,12 @@
 		return jobapi.Reply{Outcome: jobapi.Invalid, Reason: err.Error()}
 	}
 	call.Catalog, call.Packed = nil, packed
-	return sv.dispatch(ctx, call)
+	return sv.route(ctx, call)
 }
 
-// putCatalog acknowledges a version that is not newer without taking it, as a
-// change that was accepted may be sent again at any time. The process where it
-// came in has checked it.
+// putCatalog commits a configuration that the receiving process has checked. It
+// acknowledges a version that is not newer as well, since clients may resend an
+// accepted configuration at any time.
 func (sv *Handler) putCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ans, failed := sv.commit(ctx, store.Change{Catalog: call.Packed})
 	if failed != nil {
@@ -50,11 +50,11 @@
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
 }
 
-// readCatalog asks the leader for the newest configuration. Where this process
-// holds it already the leader only says so.
-func (sv *Handler) readCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	call.Number = sv.held()
-	rep := sv.dispatch(ctx, call)
+// fetchCatalog asks the leader for the newest configuration. If this replica
+// already has it, the leader replies with the version only.
+func (sv *Handler) fetchCatalog(ctx context.Context, call jobapi.Call) jobapi.Reply {
+	call.Number = sv.committedVersion()
+	rep := sv.route(ctx, call)
 	switch {
 	case rep.Outcome != jobapi.OK:
 		return rep
@@ -71,8 +71,8 @@
 	return rep
 }
 
-// getCatalog answers with the newest configuration, packed, or only with its
-// version where the asking process holds that.
+// getCatalog returns the newest configuration in packed form, or only its version
+// if the calling process has that version.
 func (sv *Handler) getCatalog(call jobapi.Call) jobapi.Reply {
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -17,20 +17,20 @@
 	"greengageweir/internal/member/links"
 )
 
-// following is the view of a process that follows a leader, or hears of none.
-type following string
+// fixedLeader is a LeaderTracker with a fixed leader; empty is no leader.
+type fixedLeader string
 
-func (fo following) LeaderID() string { return string(fo) }
+func (fo fixedLeader) LeaderID() string { return string(fo) }
 
-// TestFollowerAnswersAnnouncementsThatChangeNothing keeps the beats of a large
-// fleet away from the leader.
+// TestFollowerAnswersAnnouncementsThatChangeNothing guards against forwarding the
+// heartbeats of a large fleet to the leader.
 func TestFollowerAnswersAnnouncementsThatChangeNothing(t *testing.T) {
-	word := store.Worker{ID: "w1", Incarnation: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
+	announced := store.Worker{ID: "w1", Incarnation: 1, Pool: "desk", Address: "w1:1", Sequence: 3}
 	st := store.New()
-	data, err := store.Entry{Changes: []store.Change{{Join: &word}}}.Encode()
+	data, err := store.Entry{Changes: []store.Change{{Join: &announced}}}.Encode()
 	require.NoError(t, err)
 	st.Apply(1, data)
-	ask := func(leader following, ann store.Worker) jobapi.Reply {
+	ask := func(leader fixedLeader, ann store.Worker) jobapi.Reply {
 		sv := &handler.Handler{
 			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
@@ -39,10 +39,10 @@
 		defer cancel()
 		return sv.Handle(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: &jobapi.Announcement{Worker: ann}})
 	}
-	later := word
+	later := announced
 	later.Sequence = 4
-	require.Equal(t, jobapi.Reply{Outcome: jobapi.OK, AnnounceTo: "c1"}, ask("c2", later), "nothing new")
-	require.NotEqual(t, jobapi.OK, ask("", later).Outcome, "a process that is cut off may not know the newest")
+	require.Equal(t, jobapi.Reply{Outcome: jobapi.OK, AnnounceTo: "c1"}, ask("c2", later), "the follower answers an unchanged announcement")
+	require.NotEqual(t, jobapi.OK, ask("", later).Outcome, "without a leader the replica may be out of date")
 	later.Draining = true
-	require.NotEqual(t, jobapi.OK, ask("c2", later).Outcome, "news goes to the leader, which is not there")
+	require.NotEqual(t, jobapi.OK, ask("c2", later).Outcome, "a changed announcement goes to the leader, which is unreachable")
 }
--- a/internal/job/handler/service.go
+++ b/internal/job/handler/handler.go
@@ -1,10 +1,10 @@
-// Package service answers calls about jobs, configuration, workers and waves.
-// A process that does not lead passes them on to the one that does.
+// Package handler handles calls about jobs, configuration, workers and waves. A
+// process that is not the leader forwards them to the leader.
 //
 // Usage:
 //
-//	sv := &service.Service{Store: st, Committer: cm, Owner: ow, ...}
-//	rep := sv.Handle(ctx, jobapi.Call{Kind: jobapi.State, Host: host, Path: path})
+//	sv := &handler.Handler{Store: st, Committer: cm, Owner: ow, ...}
+//	rep := sv.Handle(ctx, jobapi.Call{Kind: jobapi.GetState, Host: host, Path: path})
 package handler
 
 import (
@@ -27,24 +27,25 @@
 )
 
 const (
-	// maxHops bounds the forwarding of a call while a new leader is elected.
+	// maxHops limits how often a call is forwarded, in case the leader changes
+	// meanwhile.
 	maxHops = 2
-	// leaderPoll separates looks for a leader, and leaderWait bounds them:
-	// workers and operators ask another process after a second.
+	// leaderPoll is the interval of checks for a leader, and leaderWait limits
+	// the wait: workers and operators try another process after a second.
 	leaderPoll = 40 * time.Millisecond
 	leaderWait = 800 * time.Millisecond
-	// retryUnavailable is when a caller may try again while no leader can be
-	// reached: about the time of an election.
+	// retryUnavailable is the retry delay told to callers while no leader is
+	// reachable: about the duration of an election.
 	retryUnavailable = time.Second
 )
 
-// LeaderTracker tells who leads.
+// LeaderTracker tracks the current leader.
 type LeaderTracker interface {
-	// LeaderID returns the process that leads, "" where none is known.
+	// LeaderID returns the id of the leader, or "" if none is known.
 	LeaderID() string
 }
 
-// Handler answers calls. Set the exported fields before use.
+// Handler implements jobapi.Handler. Set the exported fields before use.
 type Handler struct {
 	Self      string
 	Store     *store.Store
@@ -65,7 +66,7 @@
 	metrics.GetOrCreateHistogram(`weir_call_seconds{kind="` + string(call.Kind) + `"}`).Update(took.Seconds())
 	if rep.Outcome != jobapi.OK || call.Kind == jobapi.Submit || call.Kind == jobapi.Cancel {
 		level := "debug"
-		// A forwarded call that found no leader is logged where it came in.
+		// The process that received a call first logs that no leader was found.
 		if rep.Outcome == jobapi.Invalid || rep.Outcome == jobapi.Refused || rep.Outcome == jobapi.Unknown ||
 			(rep.Outcome == jobapi.Unavailable && call.Hops == 0) {
 			level = "info"
@@ -76,43 +77,45 @@
 	return rep
 }
 
-// handle does what a call needs where it comes in; the rest is the leader's.
+// handle does the part of a call that any process can do, and routes the rest to
+// the leader.
 func (sv *Handler) handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	if call.Hops == 0 {
 		switch call.Kind {
 		case jobapi.Announce:
-			return sv.takeAnnouncement(ctx, call)
+			return sv.receiveAnnouncement(ctx, call)
 		case jobapi.PutCatalog:
-			return sv.takeCatalog(ctx, call)
+			return sv.receiveCatalog(ctx, call)
 		case jobapi.GetCatalog:
-			return sv.readCatalog(ctx, call)
+			return sv.fetchCatalog(ctx, call)
 		default:
 		}
 	}
-	return sv.dispatch(ctx, call)
+	return sv.route(ctx, call)
 }
 
-// takeAnnouncement spares the leader what a follower knows to be committed, and
-// keeps the worker's next announcements here.
-func (sv *Handler) takeAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	if sv.follows() && sv.known(*call.Worker) {
+// receiveAnnouncement answers an announcement without the leader if it repeats
+// what is committed, and tells the worker to announce itself to this follower
+// again.
+func (sv *Handler) receiveAnnouncement(ctx context.Context, call jobapi.Call) jobapi.Reply {
+	if sv.isFollower() && sv.announcementKnown(*call.Worker) {
 		return jobapi.Reply{Outcome: jobapi.OK, AnnounceTo: sv.Self}
 	}
-	rep := sv.dispatch(ctx, call)
-	if rep.Outcome == jobapi.OK && sv.follows() {
+	rep := sv.route(ctx, call)
+	if rep.Outcome == jobapi.OK && sv.isFollower() {
 		rep.AnnounceTo = sv.Self
 	}
 	return rep
 }
 
-// follows reports whether this process follows a leader that it hears.
-func (sv *Handler) follows() bool {
+// isFollower reports whether this process follows a known leader.
+func (sv *Handler) isFollower() bool {
 	leader := sv.Leader.LeaderID()
 	return leader != "" && leader != sv.Self
 }
 
-// known reports whether a worker's word about itself is nothing new.
-func (sv *Handler) known(ann jobapi.Announcement) bool {
+// announcementKnown reports whether an announcement repeats what is committed.
+func (sv *Handler) announcementKnown(ann jobapi.Announcement) bool {
 	known := false
 	sv.Store.Read(func(rd store.Reader) {
 		wk, ok := rd.Worker(ann.ID)
@@ -121,12 +124,13 @@
 	return known
 }
 
-// dispatch answers a call as the leader, or passes it on to the one that leads.
-func (sv *Handler) dispatch(ctx context.Context, call jobapi.Call) jobapi.Reply {
+// route handles a call if this process is the leader, and forwards it otherwise.
+// It waits up to leaderWait for a leader, unless the call was forwarded here.
+func (sv *Handler) route(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	until := sv.Clock.Now().Add(leaderWait)
 	for {
 		if sv.Owner.Ready() {
-			rep := sv.answer(ctx, call)
+			rep := sv.handleAsLeader(ctx, call)
 			rep.Leader = sv.Self
 			return rep
 		}
@@ -150,8 +154,8 @@
 	}
 }
 
-// forward passes a call on. It reports false where the call certainly had no
-// effect and may be tried again.
+// forward sends a call to the leader. It reports false if the call certainly had
+// no effect and may be retried.
 func (sv *Handler) forward(ctx context.Context, leader string, call jobapi.Call) (jobapi.Reply, bool) {
 	call.Hops++
 	var rep jobapi.Reply
@@ -167,13 +171,13 @@
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: "no answer from the leader"}, true
 }
 
-// answer answers a call as the leader.
-func (sv *Handler) answer(ctx context.Context, call jobapi.Call) jobapi.Reply {
+// handleAsLeader handles a call on the leader.
+func (sv *Handler) handleAsLeader(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	switch call.Kind {
 	case jobapi.Submit:
 		return sv.submit(ctx, call)
 	case jobapi.GetState:
-		return sv.state(call)
+		return sv.jobState(call)
 	case jobapi.Cancel:
 		return sv.cancel(ctx, call)
 	case jobapi.PutCatalog:
@@ -192,26 +196,26 @@
 	return jobapi.Reply{Outcome: jobapi.Invalid, Reason: "unknown kind of call"}
 }
 
-// commit makes a change and returns what to reply where that fails.
+// commit commits a change, and returns the reply to the call if that fails.
 func (sv *Handler) commit(ctx context.Context, ch store.Change) (store.Result, *jobapi.Reply) {
 	ans, err := sv.Committer.Commit(ctx, ch)
 	if err != nil {
-		rep := failure(err)
+		rep := commitFailure(err)
 		return ans, &rep
 	}
 	return ans, nil
 }
 
-// failure is the reply to a call whose change was not committed, or perhaps
-// not.
-func failure(err error) jobapi.Reply {
+// commitFailure returns the reply for a failed commit: Unavailable if the change
+// was certainly not committed, Unknown otherwise.
+func commitFailure(err error) jobapi.Reply {
 	if errkind.Is(err, scheduler.KindBusy) || errkind.Is(err, node.KindBusy) || errkind.Is(err, node.KindNotLeader) {
 		return jobapi.Reply{Outcome: jobapi.Unavailable, Reason: err.Error(), RetryAfter: retryUnavailable}
 	}
 	return jobapi.Reply{Outcome: jobapi.Unknown, Reason: err.Error()}
 }
 
-// noCatalog is the answer before the first configuration.
+// noCatalog is the reply while there is no configuration yet.
 var noCatalog = jobapi.Reply{Outcome: jobapi.Unavailable, Reason: "no configuration yet", RetryAfter: retryUnavailable}
 
 func (sv *Handler) submit(ctx context.Context, call jobapi.Call) jobapi.Reply {
@@ -248,8 +252,8 @@
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Queued}
 }
 
-// job finds the job that a call names.
-func job(rd store.Reader, call jobapi.Call) (*store.JobState, *jobapi.Reply) {
+// findJob returns the job that a call refers to, or the reply if there is none.
+func findJob(rd store.Reader, call jobapi.Call) (*store.JobState, *jobapi.Reply) {
 	ct := rd.Catalog()
 	if ct.Version == 0 {
 		return nil, &noCatalog
@@ -265,8 +269,9 @@
 	return js, nil
 }
 
-// state tells a job's phase or, without a job's id, how many jobs wait.
-func (sv *Handler) state(call jobapi.Call) jobapi.Reply {
+// jobState returns the phase of a job or, for a path without a job id, the number
+// of pending jobs of the queue.
+func (sv *Handler) jobState(call jobapi.Call) jobapi.Reply {
 	var rep jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
 		ct := rd.Catalog()
@@ -274,7 +279,7 @@
 			rep = jobapi.Reply{Outcome: jobapi.OK, Pending: rd.Pending(qu.Key())}
 			return
 		}
-		js, failed := job(rd, call)
+		js, failed := findJob(rd, call)
 		if failed != nil {
 			rep = *failed
 			return
@@ -288,7 +293,7 @@
 	var id spec.JobID
 	var rep *jobapi.Reply
 	sv.Store.Read(func(rd store.Reader) {
-		js, failed := job(rd, call)
+		js, failed := findJob(rd, call)
 		switch {
 		case failed != nil:
 			rep = failed
@@ -309,13 +314,14 @@
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Cancelled}
 }
 
-// announce takes a worker's word about itself. Only what is new is committed.
+// announce processes a worker's announcement and commits it if it changes the
+// worker's state.
 func (sv *Handler) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ann := call.Worker
 	if !sv.Owner.RecordAnnouncement(*ann, sv.Clock.Now()) {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "out of date"}
 	}
-	if sv.known(*ann) {
+	if sv.announcementKnown(*ann) {
 		return jobapi.Reply{Outcome: jobapi.OK}
 	}
 	wk := ann.Worker
@@ -330,11 +336,11 @@
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
 }
 
-// depart ends a worker's life on its own word.
+// depart removes a worker that announced its shutdown.
 func (sv *Handler) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	known, err := sv.Owner.DeregisterWorker(ctx, call.Worker.ID)
 	if err != nil {
-		return failure(err)
+		return commitFailure(err)
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "worker departed", "worker", call.Worker.ID, "known", known)
 	sv.Owner.Wake()
--- a/internal/job/handler/service_test.go
+++ b/internal/job/handler/handler_test.go
@@ -34,26 +34,26 @@
 )
 
 const (
-	self    = "127.0.0.1:1"
-	soon    = 20 * time.Second
-	looking = 20 * time.Millisecond
+	self         = "127.0.0.1:1"
+	waitTimeout  = 20 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// system is one process that takes jobs, with workers that pretend to work.
+// system is one process that accepts jobs, with simulated workers.
 type system struct {
-	t       *testing.T
-	dir     string
-	cl      *jobhttp.Client
-	workers []*taskworker.Worker
-	calls   []jobapi.Announcement
-	stop    func()
-	// asked counts the questions to the adviser, which allows w1 only.
-	asked atomic.Int32
+	t             *testing.T
+	dir           string
+	cl            *jobhttp.Client
+	workers       []*taskworker.Worker
+	announcements []jobapi.Announcement
+	stop          func()
+	// adviseCalls counts the calls of the adviser, which allows only w1.
+	adviseCalls atomic.Int32
 }
 
 // Advise implements weir.Adviser.
 func (sy *system) Advise(context.Context, weir.TaskRef, []weir.InstanceID) (weir.Advice, error) {
-	if sy.asked.Add(1) == 1 {
+	if sy.adviseCalls.Add(1) == 1 {
 		return weir.Advice{}, &scheduler.Error{Op: "advise", Kind: scheduler.KindBusy}
 	}
 	return weir.Advice{Tickets: map[weir.InstanceID]string{"w1": "ticket"}, Validity: 500 * time.Millisecond}, nil
@@ -67,7 +67,7 @@
 		srv := httptest.NewServer(taskapi.Routes(wk))
 		t.Cleanup(srv.Close)
 		sy.workers = append(sy.workers, wk)
-		sy.calls = append(sy.calls, jobapi.Announcement{Worker: store.Worker{
+		sy.announcements = append(sy.announcements, jobapi.Announcement{Worker: store.Worker{
 			ID: wk.ID, Incarnation: 1, Pool: "desk", Address: srv.Listener.Addr().String(), Capacity: spec.Resources{MilliCPU: 4000, MemoryMB: 1000},
 		}})
 	}
@@ -76,7 +76,7 @@
 	return sy
 }
 
-// start runs the process on the data that is there.
+// start starts the process on the existing data folder.
 func (sy *system) start() {
 	steady, wall, lg := clock.BootTime{}, clock.Wall{}, log.NewNopLogger()
 	str := store.New()
@@ -97,10 +97,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	steps := []weir.Component{lks, nod, com, own}
-	require.NoError(sy.t, run.Defaults(steps...))
-	for _, stp := range steps {
-		wg.Go(func() { _ = stp.Run(ctx) })
+	components := []weir.Component{lks, nod, com, own}
+	require.NoError(sy.t, run.Defaults(components...))
+	for _, cmp := range components {
+		wg.Go(func() { _ = cmp.Run(ctx) })
 	}
 	srv := httptest.NewServer(jobhttp.Routes(svc, wall))
 	sy.cl = &jobhttp.Client{Addrs: []string{srv.Listener.Addr().String()}}
@@ -109,38 +109,38 @@
 		cancel()
 		wg.Wait()
 	}
-	for _, ann := range sy.calls {
-		sy.must(http.MethodPut, "/v1/workers/"+string(ann.ID), ann)
+	for _, ann := range sy.announcements {
+		sy.mustDo(http.MethodPut, "/v1/workers/"+string(ann.ID), ann)
 	}
 }
 
 func (sy *system) do(method, path string, body any) (jobhttp.Answer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	ans, _, err := sy.cl.Do(ctx, method, path, body)
 	return ans, err
 }
 
-func (sy *system) must(method, path string, body any) jobhttp.Answer {
+func (sy *system) mustDo(method, path string, body any) jobhttp.Answer {
 	ans, err := sy.do(method, path, body)
 	require.NoError(sy.t, err)
 	return ans
 }
 
 func (sy *system) submit(id, text string, steps ...jobhttp.Step) {
-	sy.must(http.MethodPost, "/v1/jobs", jobhttp.Submission{Queue: "q", ID: weir.JobID(id), Job: jobhttp.Job{Text: text, Steps: steps}})
+	sy.mustDo(http.MethodPost, "/v1/jobs", jobhttp.Submission{Queue: "q", ID: weir.JobID(id), Job: jobhttp.Job{Text: text, Steps: steps}})
 }
 
 func (sy *system) phase(id string) store.Phase {
-	return sy.must(http.MethodGet, "/v1/jobs?queue=q&id="+id, nil).Phase
+	return sy.mustDo(http.MethodGet, "/v1/jobs?queue=q&id="+id, nil).Phase
 }
 
 func (sy *system) awaitPhase(id string, want store.Phase) {
-	require.Eventually(sy.t, func() bool { return sy.phase(id) == want }, soon, looking, "%s is to be %s", id, want)
+	require.Eventually(sy.t, func() bool { return sy.phase(id) == want }, waitTimeout, pollInterval, "job %s must become %s", id, want)
 }
 
-// done counts how often each task was done, over all workers.
-func (sy *system) done() map[weir.TaskRef]int {
+// doneCounts returns how often each task was completed, over all workers.
+func (sy *system) doneCounts() map[weir.TaskRef]int {
 	out := map[weir.TaskRef]int{}
 	for _, wk := range sy.workers {
 		for task, count := range wk.Done() {
@@ -150,9 +150,9 @@
 	return out
 }
 
-func put(t *testing.T, sy *system) {
+func putCatalog(t *testing.T, sy *system) {
 	t.Helper()
-	ans := sy.must(http.MethodPut, "/v1/catalog", map[string]any{
+	ans := sy.mustDo(http.MethodPut, "/v1/catalog", map[string]any{
 		"version": 1,
 		"queues": []map[string]any{{
 			"name": "q", "pool": "desk", "timeoutMillis": 1000, "targetMillis": 500, "stretch": 2, "maxAttempts": 2,
@@ -165,36 +165,36 @@
 	require.Equal(t, jobapi.OK, ans.Outcome)
 }
 
-func TestJobOfTwoStepsIsDoneOnce(t *testing.T) {
+func TestJobOfTwoStepsRunsOnce(t *testing.T) {
 	sy := newSystem(t, 2)
-	put(t, sy)
+	putCatalog(t, sy)
 	step := jobhttp.Step{Count: 5, MilliCPU: 1000, EstimateMillis: 50}
 	second := step
 	second.After = []int{0}
 	sy.submit("a", "50ms", step, second)
 	sy.submit("a", "50ms", step, second)
 	sy.awaitPhase("a", store.Done)
-	done := sy.done()
+	done := sy.doneCounts()
 	require.Len(t, done, 10)
 	for task, count := range done {
 		require.Equal(t, 1, count, "%+v", task)
 	}
 }
 
-func TestCancelStopsWhatRuns(t *testing.T) {
+func TestCancelStopsRunningTasks(t *testing.T) {
 	sy := newSystem(t, 1)
-	put(t, sy)
+	putCatalog(t, sy)
 	sy.submit("long", "10m", jobhttp.Step{Count: 2, MilliCPU: 1000, EstimateMillis: 600_000})
 	sy.awaitPhase("long", store.Running)
-	require.Equal(t, store.Cancelled, sy.must(http.MethodDelete, "/v1/jobs?queue=q&id=long", nil).Phase)
-	// The room is free again: another job that needs all of it is done.
+	require.Equal(t, store.Cancelled, sy.mustDo(http.MethodDelete, "/v1/jobs?queue=q&id=long", nil).Phase)
+	// The capacity is free again: another job that needs all of it completes.
 	sy.submit("next", "10ms", jobhttp.Step{Count: 4, MilliCPU: 1000, EstimateMillis: 10})
 	sy.awaitPhase("next", store.Done)
 }
 
 func TestRestartKeepsJobsAndRunsNothingTwice(t *testing.T) {
 	sy := newSystem(t, 2)
-	put(t, sy)
+	putCatalog(t, sy)
 	sy.submit("before", "20ms", jobhttp.Step{Count: 2, MilliCPU: 1000, EstimateMillis: 20})
 	sy.awaitPhase("before", store.Done)
 	sy.submit("during", "900ms", jobhttp.Step{Count: 4, MilliCPU: 1000, EstimateMillis: 900})
@@ -203,27 +203,27 @@
 	sy.start()
 	require.Equal(t, store.Done, sy.phase("before"))
 	sy.awaitPhase("during", store.Done)
-	for task, count := range sy.done() {
+	for task, count := range sy.doneCounts() {
 		require.Equal(t, 1, count, "%+v", task)
 	}
 }
 
-func TestAdvisedStepsRunWhereTheyMay(t *testing.T) {
+func TestAdvisedStepsRunOnAdvisedWorkers(t *testing.T) {
 	sy := newSystem(t, 3)
-	put(t, sy)
+	putCatalog(t, sy)
 	step := jobhttp.Step{Count: 4, MilliCPU: 2000, EstimateMillis: 400}
 	second := step
 	second.After = []int{0}
-	sy.must(http.MethodPost, "/v1/jobs", jobhttp.Submission{
+	sy.mustDo(http.MethodPost, "/v1/jobs", jobhttp.Submission{
 		Queue: "advised", ID: "a", Job: jobhttp.Job{Text: "400ms", Steps: []jobhttp.Step{step, second}},
 	})
 	require.Eventually(t, func() bool {
-		return sy.must(http.MethodGet, "/v1/jobs?queue=advised&id=a", nil).Phase == store.Done
-	}, soon, looking)
+		return sy.mustDo(http.MethodGet, "/v1/jobs?queue=advised&id=a", nil).Phase == store.Done
+	}, waitTimeout, pollInterval)
 	require.Len(t, sy.workers[1].Done(), 8)
 	require.Empty(t, sy.workers[0].Done())
 	require.Empty(t, sy.workers[2].Done())
-	require.GreaterOrEqual(t, int(sy.asked.Load()), 4, "one fails, each step is asked about, and tickets expire")
+	require.GreaterOrEqual(t, int(sy.adviseCalls.Load()), 4, "one call fails, each step needs one, and tickets expire")
 }
 
 func TestRefusals(t *testing.T) {
@@ -234,7 +234,7 @@
 		require.True(t, errkind.Is(err, jobhttp.KindRefused), "%v", err)
 		require.Equal(t, outcome, ans.Outcome)
 	}
-	put(t, sy)
+	putCatalog(t, sy)
 	refused(jobapi.NoQueue, http.MethodGet, "/v1/jobs?queue=other&id=a", nil)
 	refused(jobapi.NoJob, http.MethodGet, "/v1/jobs?queue=q&id=nobody", nil)
 	refused(jobapi.NoJob, http.MethodDelete, "/v1/jobs?queue=q&id=nobody", nil)
@@ -245,8 +245,8 @@
 	refused(jobapi.Invalid, http.MethodPut, "/v1/catalog", map[string]any{
 		"version": 2, "queues": []map[string]any{{"name": "q", "pool": "nobody", "timeoutMillis": 1}},
 	})
-	require.Equal(t, 0, sy.must(http.MethodGet, "/v1/jobs?queue=q", nil).Pending)
+	require.Equal(t, 0, sy.mustDo(http.MethodGet, "/v1/jobs?queue=q", nil).Pending)
 	sy.submit("waits", "", jobhttp.Step{Count: 1, MilliCPU: 1})
-	require.Equal(t, 1, sy.must(http.MethodGet, "/v1/jobs?queue=q", nil).Pending)
+	require.Equal(t, 1, sy.mustDo(http.MethodGet, "/v1/jobs?queue=q", nil).Pending)
 	require.Equal(t, store.Queued, sy.phase("waits"))
 }
