--- a/task.go
+++ b/task.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// JobID is the caller's name of a job.
+// JobID is the id that the caller gave to a job.
 type JobID string
 
-// TaskRef names one task of a job.
+// TaskRef identifies one task of a job.
 type TaskRef struct {
 	Job        JobID `json:"j"`
 	Occurrence int   `json:"o,omitempty"`
@@ -16,136 +16,140 @@
 	Index      int   `json:"i,omitempty"`
 }
 
-// StepRef returns the first task of the task's step, which names the step.
+// StepRef returns the first task of the task's step, which identifies the step.
 func (tr TaskRef) StepRef() TaskRef {
 	tr.Index = 0
 	return tr
 }
 
-// RunKey names one run of one task. Run numbers rise from 1 and are never
-// used twice.
+// RunKey identifies one run of one task. Run numbers increase from 1 and are
+// never reused.
 type RunKey struct {
 	Task TaskRef
 	Run  int
 }
 
-// WorkerIncarnation is one life of a worker, and where to reach it.
+// WorkerIncarnation identifies one incarnation of a worker and its address.
 type WorkerIncarnation struct {
-	ID      InstanceID
+	ID InstanceID
+	// Born is the incarnation: the start time in milliseconds since 1970.
 	Born    int64
 	Address string
 }
 
-// RunOrder orders a worker to start a run.
+// RunOrder is an order to start a run.
 type RunOrder struct {
 	RunKey
-	// Text is the caller's, as it was handed in.
+	// Text is the job's text, as the caller submitted it.
 	Text string
-	// Until is the worker's lease on its own clock.
+	// Until is when the worker's lease expires, on the worker's clock.
 	Until time.Duration
-	// Token is the fencing token of the leader that orders.
+	// Token is the fencing token of the leader that sends the order.
 	Token uint64
-	// Checkpoint is where the run resumes; empty is from the start.
+	// Checkpoint is the checkpoint to resume from; empty means from the start.
 	Checkpoint string
-	// Ticket is the adviser's permission; empty where none is needed.
+	// Ticket is the adviser's ticket for this worker; empty if none is needed.
 	Ticket string
 }
 
-// Refusal tells why a worker did not start a run. It has certainly not
-// started it.
+// Refusal is the reason why a worker refused an order. A refused run was
+// certainly not started.
 type Refusal string
 
-// The reasons of a refusal.
+// The reasons for a refusal.
 const (
-	// RefusedNone is no refusal.
+	// RefusedNone means that the order was accepted.
 	RefusedNone Refusal = ""
-	// RefusedFenced says that a later leader has been at the worker.
+	// RefusedFenced means that the worker has seen a higher fencing token.
 	RefusedFenced Refusal = "fenced"
-	// RefusedStale says that this or a later run was stopped or has ended there.
+	// RefusedStale means that this or a later run was stopped or has ended on the
+	// worker.
 	RefusedStale Refusal = "old run"
-	// RefusedLeaseExpired says that the lease had passed on arrival.
+	// RefusedLeaseExpired means that the lease had expired when the order arrived.
 	RefusedLeaseExpired Refusal = "late"
-	// RefusedCapacity says that the worker has no room.
+	// RefusedCapacity means that the worker has not enough free resources.
 	RefusedCapacity Refusal = "no room"
-	// RefusedTicket says that the adviser's permission is missing or expired.
+	// RefusedTicket means that the adviser's ticket is missing or expired.
 	RefusedTicket Refusal = "no ticket"
-	// RefusedUnhealthy says that the worker is not healthy.
+	// RefusedUnhealthy means that the worker is not healthy.
 	RefusedUnhealthy Refusal = "not healthy"
-	// RefusedIncarnation says that another life of the worker answered.
+	// RefusedIncarnation means that the order reached another incarnation of the
+	// worker.
 	RefusedIncarnation Refusal = "another life"
-	// RefusedInvalid says that the worker cannot read the order.
+	// RefusedInvalid means that the worker cannot decode the order.
 	RefusedInvalid Refusal = "invalid"
 )
 
-// RunEnd is one entry of a worker's list of ends.
+// RunEnd is the end of one run as a worker reports it.
 type RunEnd struct {
 	RunKey
-	// Number rises by one with each end of a worker's life.
+	// Number increases by one with each end on one incarnation of the worker.
 	Number int64
-	// How is the worker's word for it, see internal/job/store.
+	// How is the reason of the end, an EndReason of internal/job/store.
 	How        string
 	Checkpoint string
 }
 
-// RunningTask is one entry of a worker's list of what runs.
+// RunningTask is one run in progress as a worker reports it.
 type RunningTask struct {
 	RunKey
 	Checkpoint string
-	// Percent is the progress of a task that ends, and 100 for a lasting task
-	// that is at work.
+	// Percent is the progress of a batch task, and 100 for a long-running task
+	// that is working.
 	Percent int
-	// Rough is a figure of the last half second: for a task that serves its
-	// own users, the tail of its response times in milliseconds; for others,
-	// the thousandths of a core in use.
+	// Rough is a rough measurement over the last half second: for a task that
+	// serves users, its tail latency in milliseconds; for others, the processor
+	// use in thousandths of a core.
 	Rough float64
 }
 
-// WorkerReport is a worker's account of itself.
+// WorkerReport is a worker's report of its running and ended runs.
 type WorkerReport struct {
-	// Clock is the worker's own steady clock.
+	// Clock is the reading of the worker's monotonic clock.
 	Clock   time.Duration
 	Born    int64
 	Running []RunningTask
-	// Ends are those that were not acknowledged, oldest first.
+	// Ends holds the ends that were not acknowledged yet, oldest first.
 	Ends []RunEnd
 }
 
-// RenewOrder extends a worker's lease and asks for its report.
+// RenewOrder renews a worker's lease and requests its report.
 type RenewOrder struct {
-	// Until is the lease on the worker's clock; zero extends nothing.
+	// Until is when the lease expires, on the worker's clock; zero does not renew
+	// it.
 	Until time.Duration
 	Token uint64
-	// Acknowledged is the number of the last end that is recorded.
+	// Acknowledged is the number of the last end that is committed.
 	Acknowledged int64
-	// Wait is how long the worker may wait for an end before it answers.
+	// Wait is how long the worker may wait for a run to end before it replies.
 	Wait time.Duration
 }
 
-// OrderResponse is a worker's answer to an order.
+// OrderResponse is a worker's response to an order.
 type OrderResponse struct {
 	Refusal Refusal
 	Clock   time.Duration
 }
 
 // TaskWorkers sends orders to workers. An error means that the order may have
-// been carried out, or may still be.
+// been executed, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, life WorkerIncarnation, order RunOrder) (OrderResponse, error)
-	Stop(ctx context.Context, life WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
-	Renew(ctx context.Context, life WorkerIncarnation, order RenewOrder) (WorkerReport, error)
-	// Throttle lets a run work at a share of its speed, from 0 to 100 percent.
-	Throttle(ctx context.Context, life WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
-	// Forget closes the connections to an address that is no longer used.
+	Start(ctx context.Context, worker WorkerIncarnation, order RunOrder) (OrderResponse, error)
+	Stop(ctx context.Context, worker WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
+	Renew(ctx context.Context, worker WorkerIncarnation, order RenewOrder) (WorkerReport, error)
+	// Throttle limits a run to a share of its speed, from 0 to 100 percent.
+	Throttle(ctx context.Context, worker WorkerIncarnation, key RunKey, percent int, token uint64) (OrderResponse, error)
+	// Forget closes the connections to an address that is no longer in use.
 	Forget(address string)
 }
 
-// Leadership tells whether orders may be given at a moment: whether this
-// process still leads for sure.
+// Leadership tells whether this process may send orders now. Leads reports
+// whether it is certainly still the leader.
 type Leadership interface {
 	Leads() bool
 }
 
-// MachineState is where a machine is in its life at the platform.
+// MachineState is the state of a machine at its platform.
 type MachineState string
 
 // The states of a machine.
@@ -156,7 +160,7 @@
 	MachineDown        MachineState = "down"
 )
 
-// Machine is one machine of the fleet as its platform lists it.
+// Machine is one machine of the fleet as the platform lists it.
 type Machine struct {
 	Name   string
 	Pool   PoolName
@@ -165,49 +169,49 @@
 	Worker InstanceID
 }
 
-// MachineResponse is the platform's answer to an order.
+// MachineResponse is the platform's response to a machine order.
 type MachineResponse string
 
-// The answers.
+// The responses to a machine order.
 const (
-	// MachineAccepted says that the operation has begun, or has been done.
+	// MachineAccepted means that the operation has started or is done.
 	MachineAccepted MachineResponse = "accepted"
-	// MachineBusy says that the machine is not up.
+	// MachineBusy means that the machine is not up.
 	MachineBusy MachineResponse = "busy"
-	// MachineRefused says that the order can never be carried out.
+	// MachineRefused means that the order can never be executed.
 	MachineRefused MachineResponse = "refused"
-	// MachineThrottled says that too many orders came at once.
+	// MachineThrottled means that orders exceeded the platform's rate limit.
 	MachineThrottled MachineResponse = "throttled"
 )
 
-// MachineOrder names who orders, for one operation on one machine.
+// MachineOrder orders one operation on one machine, on behalf of a leader.
 type MachineOrder struct {
 	Machine string
 	Holder  string
 	Token   uint64
-	// Wave is set for maintenance, Pool for a move.
+	// Wave is set for maintenance, Pool for a move to another pool.
 	Wave int64
 	Pool PoolName
 }
 
-// MachinePlatform acts on machines. An error means that the order may have
-// been carried out.
+// MachinePlatform lists machines and executes orders on them. An error means
+// that the order may have been executed.
 type MachinePlatform interface {
 	Machines(ctx context.Context) ([]Machine, error)
 	Order(ctx context.Context, order MachineOrder) (MachineResponse, error)
 }
 
-// Advice names the workers that may run a step, with the ticket that each
-// start there must carry.
+// Advice holds the workers that may run a step, each with the ticket that its
+// start orders must carry.
 type Advice struct {
 	Tickets map[InstanceID]string
-	// Validity is how long the tickets hold.
+	// Validity is how long the tickets are valid.
 	Validity time.Duration
 }
 
-// Adviser tells which workers may run a step. It answers one question of a
-// process at a time, and slowly; the answer for a step does not change, but
-// tickets expire.
+// Adviser decides which workers may run a step. It is slow and handles one call
+// of a process at a time. The workers of a step do not change, but tickets
+// expire.
 type Adviser interface {
 	Advise(ctx context.Context, step TaskRef, workers []InstanceID) (Advice, error)
 }
--- a/weir.go
+++ b/weir.go
@@ -1,13 +1,13 @@
-// Package greengageweir holds the interfaces and the plain values that the
-// packages under internal speak in. It imports nothing of the project.
+// Package greengageweir defines the interfaces and value types that the packages
+// under internal share. It imports no other package of the project.
 //
 // Usage:
 //
-//	var ans greengageweir.Answer = dsp.Do(ctx, req)
+//	var ans greengageweir.Response = dsp.Do(ctx, req)
 //	switch ans.Kind {
-//	case greengageweir.Whole:   // the endpoint's complete answer
-//	case greengageweir.NotRun:  // it certainly did not run
-//	case greengageweir.Unknown: // it may have run; ask again with the same key
+//	case greengageweir.Complete: // the endpoint's complete response
+//	case greengageweir.NotRun:   // the request certainly did not run
+//	case greengageweir.Unknown:  // it may have run; repeat it with the same key
 //	}
 package greengageweir
 
@@ -16,22 +16,22 @@
 	"time"
 )
 
-// InstanceID names one instance of the fleet (a worker).
+// InstanceID identifies one instance of the fleet (a worker).
 type InstanceID string
 
-// PoolName names a pool of instances.
+// PoolName is the name of a pool of instances.
 type PoolName string
 
-// ServiceName names a service that callers ask for.
+// ServiceName is the name of a service that callers send requests to.
 type ServiceName string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// TeamName names a team with a quota.
+// TeamName is the name of a team of callers with a quota.
 type TeamName string
 
-// Class tells how urgent a request is.
+// Class is the urgency class of a request.
 type Class string
 
 // The classes of requests.
@@ -40,21 +40,21 @@
 	Deferrable Class = "deferrable"
 )
 
-// OutcomeKind is one of the three kinds of answer a caller can get.
+// OutcomeKind is the kind of a response.
 type OutcomeKind string
 
-// The three kinds of answer; there is no fourth.
+// The kinds of responses; every request gets exactly one of them.
 const (
-	// Complete is the endpoint's complete answer.
+	// Complete means that the response is the complete one of the endpoint.
 	Complete OutcomeKind = "whole"
-	// NotRun says that the request certainly did not run and may be sent again.
+	// NotRun means that the request certainly did not run and may be sent again.
 	NotRun OutcomeKind = "notRun"
-	// Unknown says that the request may have run. Asking again with the same
-	// key gets the recorded outcome, never a second run.
+	// Unknown means that the request may have run. Sending it again with the same
+	// idempotency key returns the recorded outcome and never runs it twice.
 	Unknown OutcomeKind = "unknown"
 )
 
-// Request is a caller's request as the system carries it.
+// Request is a caller's request as it is passed through the system.
 type Request struct {
 	Service     ServiceName `json:"service"`
 	Team        TeamName    `json:"team,omitempty"`
@@ -64,9 +64,9 @@
 	Body        []byte      `json:"body,omitempty"`
 	Key         string      `json:"key,omitempty"`
 	Class       Class       `json:"class"`
-	// Repeatable requests may be dispatched more than once.
+	// Repeatable requests may be dispatched to endpoints more than once.
 	Repeatable bool `json:"repeatable"`
-	// Deadline is the instant after which an answer is of no use.
+	// Deadline is the time after which a response is of no use.
 	Deadline time.Time `json:"deadline"`
 }
 
@@ -79,34 +79,34 @@
 	Body        []byte      `json:"body,omitempty"`
 }
 
-// NotRunResponse returns an answer that says the request did not run.
+// NotRunResponse returns a response of kind NotRun.
 func NotRunResponse(reason string) Response { return Response{Kind: NotRun, Reason: reason} }
 
-// UnknownResponse returns an answer that says the request may have run.
+// UnknownResponse returns a response of kind Unknown.
 func UnknownResponse(reason string) Response { return Response{Kind: Unknown, Reason: reason} }
 
-// Dispatcher turns a request into exactly one answer.
+// Dispatcher returns exactly one response for each request.
 type Dispatcher interface {
 	Do(ctx context.Context, req Request) Response
 }
 
-// Component is one long-running part of a process.
+// Component is one long-running component of a process.
 type Component interface {
-	// String is the step's name in logs.
+	// String returns the name of the component in logs.
 	String() string
-	// Default fills unset settings and checks all of them.
+	// Default sets defaults for unset settings and validates all of them.
 	Default() error
-	// Run works until the context ends.
+	// Run runs the component until the context is done.
 	Run(ctx context.Context) error
 }
 
-// Platform acts on instances. Every call carries an operation id and is
-// idempotent under it.
+// Platform performs operations on instances. Calls are idempotent: a repeated
+// operation id has no further effect.
 type Platform interface {
 	Reboot(ctx context.Context, zone Zone, inst InstanceID, operation string) error
 }
 
-// Clock tells the present time.
+// Clock returns the current time.
 type Clock interface {
 	Now() time.Time
 }
