--- a/internal/contract/jobapi/jobapi.go
+++ b/internal/contract/jobapi/jobapi.go
@@ -1,9 +1,9 @@
-// Package jobapi holds the calls about jobs, configuration, workers and waves
-// that any process of the system may take and the leader answers.
+// Package jobapi defines the calls about jobs, configuration, workers and waves.
+// Any process of the system accepts them, and the leader handles them.
 //
 // Usage:
 //
-//	rep, err := handler.Handle(ctx, jobapi.Call{Kind: jobapi.Submit, Host: host, Path: path, Job: job})
+//	rep := handler.Handle(ctx, jobapi.Call{Kind: jobapi.Submit, Host: host, Path: path, Job: job})
 package jobapi
 
 import (
@@ -19,31 +19,31 @@
 	weir "greengageweir"
 )
 
-// CallMethod is the name of the call between processes.
+// CallMethod is the method that forwards a Call from one process to another.
 const CallMethod = "job.call"
 
-// DirectoryMethod asks a holder of the log for all of them, and introduces the
-// asking process, see Introduction.
+// DirectoryMethod is the method that asks a replica of the log for the list of
+// all replicas. Its request is a DirectoryRequest, its reply a DirectoryReply.
 const DirectoryMethod = "member.directory"
 
-// Kind tells calls apart.
+// Kind is the kind of a call.
 type Kind string
 
 // The kinds of calls.
 const (
-	// Submit, State and Cancel name a queue by Host and Path; what follows the
-	// queue's prefix in Path is the job's id. Without an id, State asks how
-	// many of the queue's jobs have not begun.
+	// Submit, GetState and Cancel identify a queue by Host and Path; the rest of
+	// Path after the queue's prefix is the job's id. Without an id, GetState
+	// returns the number of the queue's jobs that have not started.
 	Submit   Kind = "submit"
 	GetState Kind = "state"
 	Cancel   Kind = "cancel"
-	// PutCatalog and GetCatalog change and read the configuration.
+	// PutCatalog and GetCatalog write and read the configuration.
 	PutCatalog Kind = "putCatalog"
 	GetCatalog Kind = "getCatalog"
-	// Announce and Depart are a worker's.
+	// Announce and Depart register and deregister a worker.
 	Announce Kind = "announce"
 	Depart   Kind = "depart"
-	// StartWave and GetWave are about maintenance.
+	// StartWave and GetWave start and query a maintenance wave.
 	StartWave Kind = "startWave"
 	GetWave   Kind = "getWave"
 )
@@ -53,53 +53,54 @@
 	Kind Kind   `json:"kind"`
 	Host string `json:"host,omitempty"`
 	Path string `json:"path,omitempty"`
-	// Job is what is submitted, without id and queue.
+	// Job is the submitted job, without id and queue.
 	Job *spec.Job `json:"job,omitempty"`
-	// Catalog is packed before it is passed on.
+	// Catalog is set only in the process that received the call; Packed replaces
+	// it before the call is forwarded.
 	Catalog *catalog.Catalog `json:"-"`
 	Packed  *catalog.Packed  `json:"packed,omitempty"`
 	Worker  *Announcement    `json:"worker,omitempty"`
 	Wave    *store.Wave      `json:"wave,omitempty"`
-	// Number is a wave's, or the version of the configuration that the asking
-	// process holds.
+	// Number is the number of a wave or, for GetCatalog, the version of the
+	// configuration that the calling process has.
 	Number int64 `json:"number,omitempty"`
 	// Hops counts the processes that forwarded the call.
 	Hops int `json:"hops,omitempty"`
 }
 
-// Announcement is a worker's word about itself.
+// Announcement is a worker's description of itself.
 type Announcement struct {
 	store.Worker
-	// Clock is the worker's steady clock.
+	// Clock is the reading of the worker's monotonic clock.
 	Clock time.Duration `json:"clock"`
-	// DrainRemaining is the least time that is left to a draining worker.
+	// DrainRemaining is the minimum time that a draining worker keeps running.
 	DrainRemaining time.Duration `json:"drainLeft,omitempty"`
 }
 
-// Outcome is how a call ended.
+// Outcome is the outcome of a call.
 type Outcome string
 
 // The outcomes.
 const (
 	OK Outcome = "ok"
-	// NoQueue says that the configuration has no such queue.
+	// NoQueue means that the configuration has no such queue.
 	NoQueue Outcome = "noQueue"
-	// NoJob says that there is no such job or wave.
+	// NoJob means that there is no such job or wave.
 	NoJob Outcome = "noJob"
-	// Invalid says that the call can never succeed as it is.
+	// Invalid means that the call can never succeed as it is.
 	Invalid Outcome = "invalid"
-	// Refused says that the call certainly had no effect; RetryAfter tells
-	// when it may succeed.
+	// Refused means that the call certainly had no effect; RetryAfter tells when
+	// it may succeed.
 	Refused Outcome = "refused"
-	// Unavailable says that no leader could be asked; the call certainly had
-	// no effect.
+	// Unavailable means that no leader was reachable; the call certainly had no
+	// effect.
 	Unavailable Outcome = "unavailable"
-	// Unknown says that the call may or may not take effect.
+	// Unknown means that the call may or may not take effect.
 	Unknown Outcome = "unknown"
 )
 
-// HTTPStatus is the HTTP status that tells an outcome. 503 and 429 promise that
-// the call had no effect, 504 leaves it open.
+// HTTPStatus returns the HTTP status code of an outcome. 429 and 503 guarantee
+// that the call had no effect; after 504 it may or may not take effect.
 func (oc Outcome) HTTPStatus() int {
 	switch oc {
 	case OK:
@@ -118,52 +119,54 @@
 	return http.StatusGatewayTimeout
 }
 
-// SetRetryAfter tells the caller when to come back, in whole seconds.
+// SetRetryAfter sets the Retry-After header in whole seconds, rounded up, if
+// RetryAfter is set.
 func (rep Reply) SetRetryAfter(header http.Header) {
 	if rep.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int((rep.RetryAfter+time.Second-1)/time.Second)))
 	}
 }
 
-// Reply is the answer to a call.
+// Reply is the reply to a call.
 type Reply struct {
 	Outcome  Outcome     `json:"outcome"`
 	Reason   string      `json:"reason,omitempty"`
 	Phase    store.Phase `json:"phase,omitempty"`
 	Pending  int         `json:"pending,omitempty"`
 	Document []byte      `json:"document,omitempty"`
-	// Version and Packed are the newest configuration; Packed is empty where
-	// the asking process holds it.
+	// Version and Packed are the newest configuration; Packed is nil if the
+	// calling process has that version.
 	Version    int64           `json:"version,omitempty"`
 	Packed     *catalog.Packed `json:"packed,omitempty"`
 	Done       bool            `json:"done,omitempty"`
 	RetryAfter time.Duration   `json:"retryAfter,omitempty"`
-	// Leader is the process that answered, where it leads.
+	// Leader is the id of the leader, if it handled the call.
 	Leader string `json:"leader,omitempty"`
-	// AnnounceTo is the process to which a worker should announce itself from
-	// now on; empty is any.
+	// AnnounceTo is the process that a worker should send its announcements to
+	// from now on; empty means any.
 	AnnounceTo string `json:"announceTo,omitempty"`
 }
 
-// Handler answers calls.
+// Handler handles calls.
 type Handler interface {
 	Handle(ctx context.Context, call Call) Reply
 }
 
-// DirectoryRequest is what a process says of itself in Directory.
+// DirectoryRequest describes the calling process to DirectoryMethod.
 type DirectoryRequest struct {
-	// Replica is set for processes that hold the log.
+	// Replica is set if the process keeps a replica of the log.
 	Replica bool   `json:"holder,omitempty"`
 	ID      string `json:"id"`
 }
 
-// DirectoryReply is the answer to Directory.
+// DirectoryReply is the reply to DirectoryMethod.
 type DirectoryReply struct {
 	Replicas []string `json:"holders"`
 	Leader   string   `json:"leader,omitempty"`
 }
 
-// ResolveQueue splits a path into the queue's and the job's part.
+// ResolveQueue returns the queue of a path and the job id that follows the queue's
+// prefix; the id may be empty. It reports false if there is no such queue.
 func ResolveQueue(ct catalog.Catalog, host, path string) (catalog.Queue, weir.JobID, bool) {
 	qu, ok := ct.QueueForPath(host, path)
 	if !ok {
