--- a/internal/contract/jobhttp/client.go
+++ b/internal/contract/jobhttp/client.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
@@ -27,31 +27,32 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// retryPause separates rounds over all addresses.
+// retryPause is the pause after all addresses were tried.
 const retryPause = 150 * time.Millisecond
 
-// Client calls any of the processes. All calls may be repeated, so it goes on
-// until one answers for sure or the context ends.
+// Client calls any of several processes. All calls are idempotent, so it retries
+// until one process gives a definite answer or the context is done.
 type Client struct {
+	// Addrs holds the addresses as host:port.
 	Addrs []string
 }
 
-// Do sends a body as JSON and returns the answer. An answer that says that
-// the call can never succeed is an error of KindRefused.
+// Do sends a body as JSON and returns the decoded answer and its text. An outcome
+// that no retry can change is an error of KindRefused.
 func (cl *Client) Do(ctx context.Context, method, path string, body any) (Answer, []byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, nil, &Error{Op: path, Kind: KindFormat, Err: err}
 	}
-	var last error = &Error{Op: path, Kind: KindUnreachable}
+	var lastErr error = &Error{Op: path, Kind: KindUnreachable}
 	for {
 		for _, addr := range cl.Addrs {
-			ans, text, err := cl.try(ctx, method, addr, path, data)
+			ans, text, err := cl.callOnce(ctx, method, addr, path, data)
 			switch {
 			case err != nil:
-				last = &Error{Op: path + " at " + addr, Kind: KindUnreachable, Err: err}
+				lastErr = &Error{Op: path + " at " + addr, Kind: KindUnreachable, Err: err}
 			case ans.Outcome == jobapi.Unavailable || ans.Outcome == jobapi.Unknown || ans.Outcome == jobapi.Refused:
-				last = &Error{Op: path + " at " + addr, Kind: KindUnreachable, Err: errors.New(ans.Reason)}
+				lastErr = &Error{Op: path + " at " + addr, Kind: KindUnreachable, Err: errors.New(ans.Reason)}
 			case ans.Outcome != jobapi.OK && ans.Outcome != "":
 				return ans, text, &Error{Op: path, Kind: KindRefused, Err: errors.New(string(ans.Outcome) + " " + ans.Reason)}
 			default:
@@ -60,17 +61,17 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Answer{}, nil, last
+			return Answer{}, nil, lastErr
 		case <-time.After(retryPause):
 		}
 	}
 }
 
-// tryTimeout is how long one process may take before the next is asked.
-const tryTimeout = 2 * time.Second
+// callTimeout is the time limit for one process before the next is tried.
+const callTimeout = 2 * time.Second
 
-func (cl *Client) try(ctx context.Context, method, addr, path string, data []byte) (Answer, []byte, error) {
-	callCtx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (cl *Client) callOnce(ctx context.Context, method, addr, path string, data []byte) (Answer, []byte, error) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(callCtx, method, "http://"+addr+path, bytes.NewReader(data))
 	if err != nil {
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -1,17 +1,18 @@
-// Package jobhttp is the product's own interface for jobs, queues, workers and
-// waves: JSON over HTTP, durations in milliseconds.
+// Package jobhttp implements the product's own HTTP API for jobs, queues, workers
+// and waves: JSON bodies, durations in milliseconds.
 //
-//	PUT    /v1/catalog                      queues and pools, with a rising version
+//	PUT    /v1/catalog                      queues and pools, with an increasing version
 //	GET    /v1/catalog
-//	POST   /v1/jobs    {"queue":"Q","id":"ID","job":{...}}   accepted once; again is no error
+//	POST   /v1/jobs    {"queue":"Q","id":"ID","job":{...}}   idempotent
 //	GET    /v1/jobs?queue=Q&id=ID           {"phase":"running"}
 //	GET    /v1/jobs?queue=Q                 {"pending":12}
 //	DELETE /v1/jobs?queue=Q&id=ID           cancels
 //	PUT    /v1/workers/ID, DELETE /v1/workers/ID
 //	POST   /v1/waves, GET /v1/waves/NUMBER
 //
-// Errors: 400 can never succeed, 404 no such queue, 410 no such job, 429 and
-// 503 certainly without effect (see Retry-After), 504 perhaps: send it again.
+// Errors: 400 can never succeed, 404 no such queue, 410 no such job or wave, 429
+// and 503 certainly had no effect (retry after Retry-After), 504 may or may not
+// take effect: send it again.
 //
 // Usage:
 //
@@ -39,10 +40,12 @@
 	weir "greengageweir"
 )
 
-// maxBody bounds a request; a catalog of some thousand queues fits.
+// maxBody limits request and response bodies; a catalog with some thousand
+// queues fits.
 const maxBody = 8 << 20
 
-// Queue is a queue as operators write it.
+// Queue is the JSON form of catalog.Queue. Its name takes the place of host and
+// prefix.
 type Queue struct {
 	Name          string        `json:"name"`
 	Pool          weir.PoolName `json:"pool"`
@@ -51,33 +54,34 @@
 	Stretch       float64       `json:"stretch"`
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
-	// Advice is set where the adviser names the workers of a step.
+	// Advice is set if the adviser decides which workers may run a step.
 	Advice *Advice `json:"advice,omitempty"`
 }
 
-// Advice tells how the adviser answers: after a base time and some for each
-// worker that it is asked about, with tickets that hold for a while.
+// Advice describes the adviser: its response time is BaseMillis plus
+// PerWorkerMillis for each worker in the call, and its tickets are valid for
+// ValidityMillis.
 type Advice struct {
 	BaseMillis      int64 `json:"baseMillis"`
 	PerWorkerMillis int64 `json:"perWorkerMillis"`
 	ValidityMillis  int64 `json:"validityMillis"`
 }
 
-// Catalog is a configuration as operators write it.
+// Catalog is the JSON form of catalog.Catalog.
 type Catalog struct {
 	Version int64          `json:"version"`
 	Queues  []Queue        `json:"queues"`
 	Pools   []catalog.Pool `json:"pools"`
 }
 
-// host stands for the host part of queue keys, which this interface lacks.
-const host = "queues"
+// queueHost is the host part of all queue keys, since this API has no hosts.
+const queueHost = "queues"
 
-func (ct Catalog) decode(document []byte) *catalog.Catalog {
+func (ct Catalog) toCatalog(document []byte) *catalog.Catalog {
 	out := &catalog.Catalog{Version: ct.Version, Pools: ct.Pools, Document: document}
 	for _, qu := range ct.Queues {
 		queue := catalog.Queue{
-			Name: qu.Name, Host: host, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
+			Name: qu.Name, Host: queueHost, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
 			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
 		if ad := qu.Advice; ad != nil {
@@ -90,7 +94,7 @@
 	return out
 }
 
-// Step is a step as callers write it; see spec.Step for the fields.
+// Step is the JSON form of spec.Step.
 type Step struct {
 	Count          int    `json:"count"`
 	MilliCPU       int    `json:"milliCpu,omitempty"`
@@ -111,7 +115,7 @@
 	MaxUnavailable int    `json:"maxAway,omitempty"`
 }
 
-// Job is a job as callers write it.
+// Job is the JSON form of spec.Job.
 type Job struct {
 	Text            string    `json:"text,omitempty"`
 	Steps           []Step    `json:"steps"`
@@ -120,7 +124,7 @@
 	EveryMillis     int64     `json:"everyMillis,omitempty"`
 }
 
-func (jb Job) decode() *spec.Job {
+func (jb Job) toSpec() *spec.Job {
 	out := &spec.Job{Text: jb.Text, OccurrenceCount: jb.OccurrenceCount, StartAt: jb.StartAt, Every: millis(jb.EveryMillis)}
 	for _, st := range jb.Steps {
 		out.Steps = append(out.Steps, spec.Step{
@@ -133,14 +137,14 @@
 	return out
 }
 
-// Submission hands a job in.
+// Submission is the request body that submits a job.
 type Submission struct {
 	Queue string     `json:"queue"`
 	ID    weir.JobID `json:"id"`
 	Job   Job        `json:"job"`
 }
 
-// Wave asks for maintenance.
+// Wave is the request body that starts a maintenance wave.
 type Wave struct {
 	Number         int64    `json:"number"`
 	Machines       []string `json:"machines"`
@@ -148,7 +152,7 @@
 	MaxParallel    int      `json:"atOnce"`
 }
 
-// Answer is the body of every answer.
+// Answer is the body of every response but that of GET /v1/catalog.
 type Answer struct {
 	Outcome jobapi.Outcome `json:"outcome"`
 	Reason  string         `json:"reason,omitempty"`
@@ -164,7 +168,7 @@
 	wall    weir.Clock
 }
 
-// Routes serves the interface.
+// Routes returns the HTTP handler of the API.
 func Routes(handler jobapi.Handler, wall weir.Clock) http.Handler {
 	sv := &server{handler: handler, wall: wall}
 	ech := ops.NewEcho()
@@ -172,13 +176,13 @@
 	ech.GET("/v1/catalog", func(ctx echo.Context) error {
 		rep := sv.handler.Handle(ctx.Request().Context(), jobapi.Call{Kind: jobapi.GetCatalog})
 		if rep.Outcome != jobapi.OK {
-			return write(ctx, rep)
+			return writeReply(ctx, rep)
 		}
 		return ctx.JSONBlob(http.StatusOK, rep.Document)
 	})
 	ech.POST("/v1/jobs", sv.submit)
-	ech.GET("/v1/jobs", sv.about(jobapi.GetState))
-	ech.DELETE("/v1/jobs", sv.about(jobapi.Cancel))
+	ech.GET("/v1/jobs", sv.jobRoute(jobapi.GetState))
+	ech.DELETE("/v1/jobs", sv.jobRoute(jobapi.Cancel))
 	ech.PUT("/v1/workers/:id", sv.announce)
 	ech.DELETE("/v1/workers/:id", func(ctx echo.Context) error {
 		ann := &jobapi.Announcement{Worker: store.Worker{ID: weir.InstanceID(ctx.Param("id"))}}
@@ -188,7 +192,7 @@
 	ech.GET("/v1/waves/:number", func(ctx echo.Context) error {
 		number, err := strconv.ParseInt(ctx.Param("number"), 10, 64)
 		if err != nil {
-			return unreadable(ctx, err)
+			return writeInvalid(ctx, err)
 		}
 		return sv.call(ctx, jobapi.Call{Kind: jobapi.GetWave, Number: number})
 	})
@@ -196,75 +200,76 @@
 }
 
 func (sv *server) call(ctx echo.Context, call jobapi.Call) error {
-	return write(ctx, sv.handler.Handle(ctx.Request().Context(), call))
+	return writeReply(ctx, sv.handler.Handle(ctx.Request().Context(), call))
 }
 
-func write(ctx echo.Context, rep jobapi.Reply) error {
+func writeReply(ctx echo.Context, rep jobapi.Reply) error {
 	rep.SetRetryAfter(ctx.Response().Header())
 	return ctx.JSON(rep.Outcome.HTTPStatus(), Answer{
 		Outcome: rep.Outcome, Reason: rep.Reason, Phase: rep.Phase, Pending: rep.Pending, Done: rep.Done,
 	})
 }
 
-func unreadable(ctx echo.Context, err error) error {
-	return write(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: err.Error()})
+func writeInvalid(ctx echo.Context, err error) error {
+	return writeReply(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: err.Error()})
 }
 
-// read decodes a body and refuses fields that are not known.
-func read(ctx echo.Context, into any) ([]byte, error) {
+// decodeBody reads a JSON body into target, rejects unknown fields and returns
+// the body's text.
+func decodeBody(ctx echo.Context, target any) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(ctx.Response(), ctx.Request().Body, maxBody))
 	if err != nil {
 		return nil, err
 	}
 	dec := json.NewDecoder(strings.NewReader(string(body)))
 	dec.DisallowUnknownFields()
-	return body, dec.Decode(into)
+	return body, dec.Decode(target)
 }
 
 func (sv *server) putCatalog(ctx echo.Context) error {
 	var ct Catalog
-	body, err := read(ctx, &ct)
+	body, err := decodeBody(ctx, &ct)
 	if err != nil {
-		return unreadable(ctx, err)
+		return writeInvalid(ctx, err)
 	}
-	return sv.call(ctx, jobapi.Call{Kind: jobapi.PutCatalog, Catalog: ct.decode(body)})
+	return sv.call(ctx, jobapi.Call{Kind: jobapi.PutCatalog, Catalog: ct.toCatalog(body)})
 }
 
 func (sv *server) submit(ctx echo.Context) error {
 	var sub Submission
-	if _, err := read(ctx, &sub); err != nil {
-		return unreadable(ctx, err)
+	if _, err := decodeBody(ctx, &sub); err != nil {
+		return writeInvalid(ctx, err)
 	}
-	call := place(jobapi.Submit, sub.Queue, sub.ID)
-	call.Job = sub.Job.decode()
+	call := jobCall(jobapi.Submit, sub.Queue, sub.ID)
+	call.Job = sub.Job.toSpec()
 	return sv.call(ctx, call)
 }
 
-func place(kind jobapi.Kind, queue string, id weir.JobID) jobapi.Call {
-	return jobapi.Call{Kind: kind, Host: host, Path: "/" + queue + "/" + string(id)}
+func jobCall(kind jobapi.Kind, queue string, id weir.JobID) jobapi.Call {
+	return jobapi.Call{Kind: kind, Host: queueHost, Path: "/" + queue + "/" + string(id)}
 }
 
-func (sv *server) about(kind jobapi.Kind) echo.HandlerFunc {
+func (sv *server) jobRoute(kind jobapi.Kind) echo.HandlerFunc {
 	return func(ctx echo.Context) error {
-		return sv.call(ctx, place(kind, ctx.QueryParam("queue"), weir.JobID(ctx.QueryParam("id"))))
+		return sv.call(ctx, jobCall(kind, ctx.QueryParam("queue"), weir.JobID(ctx.QueryParam("id"))))
 	}
 }
 
 func (sv *server) announce(ctx echo.Context) error {
 	var ann jobapi.Announcement
-	if _, err := read(ctx, &ann); err != nil {
-		return unreadable(ctx, err)
+	if _, err := decodeBody(ctx, &ann); err != nil {
+		return writeInvalid(ctx, err)
 	}
 	if string(ann.ID) != ctx.Param("id") || ann.Address == "" || ann.Pool == "" || ann.Incarnation <= 0 {
-		return write(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: "id, address, pool or born missing"})
+		return writeReply(ctx, jobapi.Reply{Outcome: jobapi.Invalid, Reason: "id, address, pool or born missing"})
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: &ann})
 }
 
 func (sv *server) startWave(ctx echo.Context) error {
 	var wv Wave
-	if _, err := read(ctx, &wv); err != nil {
-		return unreadable(ctx, err)
+	if _, err := decodeBody(ctx, &wv); err != nil {
+		return writeInvalid(ctx, err)
 	}
 	return sv.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: &store.Wave{
 		Number: wv.Number, Machines: wv.Machines, MaxParallel: wv.MaxParallel, Deadline: sv.wall.Now().Add(millis(wv.DeadlineMillis)),
