--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -1,11 +1,11 @@
-// Package catalog holds the operator's complete configuration: the queues
-// that callers submit jobs to and the pools whose workers run them.
+// Package catalog defines the operator's configuration of jobs: the queues that
+// callers submit jobs to, and the pools whose workers run them.
 //
 // Usage:
 //
 //	ct := catalog.Catalog{Version: 7, Queues: queues, Pools: pools, Document: body}
 //	err := ct.Check()
-//	qu, ok := ct.Find("pule25.example", "/puxa400/5c0e")
+//	qu, ok := ct.QueueForPath("pule25.example", "/puxa400/5c0e")
 package catalog
 
 import (
@@ -20,49 +20,53 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid says that a configuration cannot come into force.
+// KindInvalid means that a configuration is invalid and is not applied.
 const KindInvalid Kind = "configuration is not valid"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Advice tells how the adviser of a queue answers.
+// Advice describes the adviser of a queue.
 type Advice struct {
+	// Base is its response time without any worker, PerWorker the additional
+	// time for each worker in a call.
 	Base      time.Duration `json:"base,omitempty"`
 	PerWorker time.Duration `json:"perWorker,omitempty"`
-	// Validity is how long a ticket holds.
+	// Validity is how long a ticket is valid.
 	Validity time.Duration `json:"validity,omitempty"`
 }
 
-// Queue is where callers submit jobs.
+// Queue is a queue that callers submit jobs to. Callers address it by Host and a
+// path with Prefix.
 type Queue struct {
 	Name   string        `json:"name"`
 	Host   string        `json:"host"`
 	Prefix string        `json:"prefix"`
 	Pool   weir.PoolName `json:"pool"`
-	// Timeout bounds one call of a caller.
+	// Timeout is the time limit for one call of a caller.
 	Timeout time.Duration `json:"timeout"`
-	// TargetLatency is the latency that callers want on top of the stretched work.
+	// TargetLatency is the latency that callers accept in addition to Stretch times
+	// the duration of the work.
 	TargetLatency time.Duration `json:"target"`
 	Stretch       float64       `json:"stretch"`
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
-	// Advice is set where an adviser names the workers of a step.
+	// Advice is set if an adviser decides which workers may run a step.
 	Advice *Advice `json:"advice,omitempty"`
 }
 
-// Key names the queue across versions.
+// Key identifies the queue across versions of the configuration.
 func (qu Queue) Key() string { return qu.Host + qu.Prefix }
 
-// Pool is a set of instances that run the tasks of queues.
+// Pool is a set of instances that run the tasks of jobs.
 type Pool struct {
 	Name weir.PoolName `json:"name"`
-	// EnforcesCapacity says that the workers refuse what does not fit.
+	// EnforcesCapacity says that the workers refuse tasks beyond their capacity.
 	EnforcesCapacity bool `json:"guards"`
-	// Standby pools hold instances that are off.
+	// Standby pools hold instances that are switched off.
 	Standby bool `json:"standby"`
 }
 
@@ -71,11 +75,11 @@
 	Version int64   `json:"version"`
 	Queues  []Queue `json:"queues"`
 	Pools   []Pool  `json:"pools"`
-	// Document is the operator's own text, kept to be read back.
+	// Document is the configuration as the operator wrote it, kept to be read back.
 	Document []byte `json:"document,omitempty"`
 }
 
-// Check reports the first thing that is wrong.
+// Check returns an error of KindInvalid for the first problem.
 func (ct Catalog) Check() error {
 	pools := map[weir.PoolName]bool{}
 	for _, po := range ct.Pools {
@@ -105,7 +109,8 @@
 	return &Error{Op: "check configuration", Kind: KindInvalid, Err: errors.New(fmt.Sprintf(format, args...))}
 }
 
-// QueueForPath returns the queue with the longest prefix of the path.
+// QueueForPath returns the queue of the host whose prefix is the longest match for
+// the path.
 func (ct Catalog) QueueForPath(host, path string) (Queue, bool) {
 	best, found := Queue{}, false
 	for _, qu := range ct.Queues {
@@ -116,7 +121,7 @@
 	return best, found
 }
 
-// PoolByName returns a pool.
+// PoolByName returns the pool with the given name.
 func (ct Catalog) PoolByName(name weir.PoolName) (Pool, bool) {
 	for _, po := range ct.Pools {
 		if po.Name == name {
--- a/internal/config/catalog/packed.go
+++ b/internal/config/catalog/packed.go
@@ -7,30 +7,30 @@
 	"io"
 )
 
-// KindPacked says that a packed configuration cannot be read.
+// KindPacked means that a configuration cannot be packed or unpacked.
 const KindPacked Kind = "packed configuration is unreadable"
 
-// maxUnpacked bounds a configuration: some thousands of queues take a
-// megabyte.
+// maxUnpacked limits the size of an unpacked configuration. Some thousand queues
+// take one megabyte.
 const maxUnpacked = 64 << 20
 
-// Packed is a configuration as it goes through the log and between processes.
-// With 1,650 queues it is a thirtieth of its text: a log that carried the text
-// to four members would keep its leader from its heartbeats.
+// Packed is a compressed configuration, as it is stored in the log and sent
+// between processes. With 1,650 queues it has a thirtieth of the text's size;
+// replicating the text to four members would delay the leader's heartbeats.
 type Packed struct {
 	Version int64  `json:"version"`
 	Data    []byte `json:"data"`
 }
 
-// Pack returns the configuration in its packed form.
+// Pack compresses the configuration.
 func (ct Catalog) Pack() (*Packed, error) {
 	var buf bytes.Buffer
 	wr, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
 		return nil, &Error{Op: "pack", Kind: KindPacked, Err: err}
 	}
-	// The document goes beside the rest, since JSON would hide from the
-	// compressor that both say the same.
+	// The document follows the JSON instead of being a field in it: as base64 the
+	// compressor could not exploit that both have the same content.
 	document := ct.Document
 	ct.Document = nil
 	if err := json.NewEncoder(wr).Encode(ct); err != nil {
@@ -45,7 +45,7 @@
 	return &Packed{Version: ct.Version, Data: buf.Bytes()}, nil
 }
 
-// Unpack returns the configuration.
+// Unpack decompresses the configuration.
 func (pk Packed) Unpack() (Catalog, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(pk.Data)), maxUnpacked))
 	if err != nil {
--- a/internal/config/catalog/packed_test.go
+++ b/internal/config/catalog/packed_test.go
@@ -22,7 +22,7 @@
 	return ct
 }
 
-func TestPackedConfigurationIsTheSame(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	for _, ct := range []Catalog{{Version: 1}, {Version: 2, Document: []byte("{}\n\n")}, manyQueues(3), manyQueues(1650)} {
 		pk, err := ct.Pack()
 		require.NoError(t, err)
@@ -33,14 +33,14 @@
 	}
 }
 
-func TestManyQueuesPackWell(t *testing.T) {
+func TestManyQueuesCompressWell(t *testing.T) {
 	ct := manyQueues(1650)
 	pk, err := ct.Pack()
 	require.NoError(t, err)
-	require.Less(t, len(pk.Data), len(ct.Document)/2, "document and queues together")
+	require.Less(t, len(pk.Data), len(ct.Document)/2, "document and queues together must pack to less than half of the document")
 }
 
-func TestUnreadablePacked(t *testing.T) {
+func TestUnpackInvalidData(t *testing.T) {
 	for _, data := range []string{"", "no deflate", "\x01\x00\x00\xff\xff"} {
 		_, err := Packed{Version: 1, Data: []byte(data)}.Unpack()
 		require.Error(t, err)
