--- a/internal/config/file/file.go
+++ b/internal/config/file/file.go
@@ -1,6 +1,6 @@
-// Package file reads a fleet's configuration: one base file and one overlay
-// per site. Reading is strict, and all problems are reported at once, each
-// with file, line and path.
+// Package file loads the fleet configuration from one base file and one overlay
+// per site. Parsing is strict, and all problems are reported together, each with
+// file, line and path.
 //
 // Usage:
 //
@@ -10,7 +10,7 @@
 package file
 
 import (
-	_ "embed" // the annotated sample of "config init" and the schema
+	_ "embed" // embeds the annotated samples of "config init" and the schema
 	"fmt"
 	"os"
 	"path/filepath"
@@ -25,7 +25,7 @@
 	weir "greengageweir"
 )
 
-// Schema describes the keys of both kinds of files as JSON Schema.
+// Schema is the JSON Schema of base files and overlays.
 //
 //go:embed schema.json
 var Schema string
@@ -40,20 +40,20 @@
 //go:embed sample_overlay.yaml
 var SampleOverlay string
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid says that the files hold problems.
+// KindInvalid means that the files contain problems.
 const KindInvalid Kind = "configuration is not valid"
 
-// Error lists everything that is wrong.
+// Error lists all problems of a configuration.
 type Error struct {
 	Op       string
 	Kind     Kind
 	Problems []model.Problem
 }
 
-// Error implements error with one line a problem.
+// Error implements error with one line for each problem.
 func (er *Error) Error() string {
 	lines := []string{fmt.Sprintf("%s: %s: %d problems", er.Op, er.Kind, len(er.Problems))}
 	for _, pr := range er.Problems {
@@ -72,19 +72,22 @@
 	maxTimeout         = 10 * time.Minute
 )
 
-// loader merges the files into one configuration.
+// loader merges the base file and the overlays into one configuration.
 type loader struct {
-	ps  problems
-	cfg model.Config
-	// seen maps an item to the place that declared it.
-	seen map[string]string
-	// budgets maps a pool to the node of its budget, for located errors.
-	budgets map[weir.PoolName]*object
+	problems problems
+	cfg      model.Config
+	// declaredAt maps the kind and name of an item to the file and line of its
+	// declaration.
+	declaredAt map[string]string
+	// budgetObjects maps a pool to its YAML object, which locates problems with
+	// its availability budget.
+	budgetObjects map[weir.PoolName]*object
 }
 
-// Load reads and checks a base file and its overlays.
+// Load reads and validates a base file and its overlays. It sorts overlays in
+// place. Problems are returned as an *Error.
 func Load(base string, overlays []string) (model.Config, error) {
-	ld := &loader{seen: map[string]string{}, budgets: map[weir.PoolName]*object{}}
+	ld := &loader{declaredAt: map[string]string{}, budgetObjects: map[weir.PoolName]*object{}}
 	ld.cfg = model.Config{
 		Sites: map[weir.Zone]model.Site{}, Services: map[weir.ServiceName]model.Service{},
 		Pools: map[weir.PoolName]model.Pool{}, Teams: map[weir.TeamName]model.Team{},
@@ -92,7 +95,7 @@
 	}
 	ob := ld.open(base)
 	if ob == nil {
-		return model.Config{}, &Error{Op: "load " + base, Kind: KindInvalid, Problems: ld.ps.list}
+		return model.Config{}, &Error{Op: "load " + base, Kind: KindInvalid, Problems: ld.problems.list}
 	}
 	ld.readBase(ob)
 	sort.Strings(overlays)
@@ -102,13 +105,13 @@
 		}
 	}
 	ld.checkBudgets()
-	if len(ld.ps.list) > 0 {
-		return model.Config{}, &Error{Op: "load " + base, Kind: KindInvalid, Problems: ld.ps.list}
+	if len(ld.problems.list) > 0 {
+		return model.Config{}, &Error{Op: "load " + base, Kind: KindInvalid, Problems: ld.problems.list}
 	}
 	return ld.cfg, nil
 }
 
-// LoadFolder reads base.yaml and every file of the folder overlays.
+// LoadFolder loads base.yaml and overlays/*.yaml from a folder.
 func LoadFolder(dir string) (model.Config, error) {
 	overlays, err := filepath.Glob(filepath.Join(dir, "overlays", "*.yaml"))
 	if err != nil {
@@ -120,19 +123,19 @@
 func (ld *loader) open(path string) *object {
 	body, err := os.ReadFile(filepath.Clean(path))
 	if err != nil {
-		ld.ps.add(path, nil, "", "cannot read: %v", err)
+		ld.problems.add(path, nil, "", "cannot read: %v", err)
 		return nil
 	}
 	var doc yaml.Node
 	if err := yaml.Unmarshal(body, &doc); err != nil {
-		ld.ps.add(path, &yaml.Node{Line: yamlLine(err)}, "", "not YAML: %v", err)
+		ld.problems.add(path, &yaml.Node{Line: yamlLine(err)}, "", "not YAML: %v", err)
 		return nil
 	}
 	if len(doc.Content) == 0 {
-		ld.ps.add(path, nil, "", "file is empty")
+		ld.problems.add(path, nil, "", "file is empty")
 		return nil
 	}
-	return newObject(&ld.ps, path, "", doc.Content[0])
+	return newObject(&ld.problems, path, "", doc.Content[0])
 }
 
 func yamlLine(err error) int {
@@ -141,49 +144,50 @@
 	return line
 }
 
-// once reports an item that was declared before.
-func (ld *loader) once(ob *object, what, name string) bool {
+// declareOnce records the declaration of an item. It returns false if the name is
+// empty, or if the item was declared before, which it reports as a problem.
+func (ld *loader) declareOnce(ob *object, what, name string) bool {
 	if name == "" {
 		return false
 	}
 	key := what + " " + name
 	place := fmt.Sprintf("%s:%d", ob.file, ob.node.Line)
-	if first, ok := ld.seen[key]; ok {
-		ob.fail("name", "%s is declared twice, first at %s", key, first)
+	if first, ok := ld.declaredAt[key]; ok {
+		ob.addProblem("name", "%s is declared twice, first at %s", key, first)
 		return false
 	}
-	ld.seen[key] = place
+	ld.declaredAt[key] = place
 	return true
 }
 
 func (ld *loader) readBase(ob *object) {
 	ld.cfg.Name = ob.name("name")
-	ld.readLimits(ob.child("limits"))
-	for _, it := range ob.objects("sites") {
+	ld.readLimits(ob.mapping("limits"))
+	for _, it := range ob.mappingList("sites") {
 		name := it.name("name")
-		if ld.once(it, "site", name) {
+		if ld.declareOnce(it, "site", name) {
 			ld.cfg.Sites[weir.Zone(name)] = model.Site{Name: weir.Zone(name)}
 		}
-		it.finish()
+		it.reportUnknownKeys()
 	}
-	for _, it := range ob.objects("teams") {
+	for _, it := range ob.mappingList("teams") {
 		team := model.Team{Name: weir.TeamName(it.name("name")), QuotaSlots: it.integer("quotaSlots", defaultSlots, 1, maxCount)}
-		if ld.once(it, "team", string(team.Name)) {
+		if ld.declareOnce(it, "team", string(team.Name)) {
 			ld.cfg.Teams[team.Name] = team
 		}
-		it.finish()
+		it.reportUnknownKeys()
 	}
-	for _, it := range ob.objects("services") {
+	for _, it := range ob.mappingList("services") {
 		svc := readService(it, model.Service{QueueLength: defaultQueue, Timeout: model.Duration(defaultTimeout), DeferrableShare: defaultShare})
-		if ld.once(it, "service", string(svc.Name)) {
+		if ld.declareOnce(it, "service", string(svc.Name)) {
 			ld.cfg.Services[svc.Name] = svc
 		}
-		it.finish()
+		it.reportUnknownKeys()
 	}
-	for _, it := range ob.objects("pools") {
+	for _, it := range ob.mappingList("pools") {
 		ld.readPool(it)
 	}
-	ob.finish()
+	ob.reportUnknownKeys()
 }
 
 func (ld *loader) readLimits(ob *object) {
@@ -194,12 +198,12 @@
 	ld.cfg.Limits.SlotsPerInstance = ob.integer("slotsPerInstance", defaultSlots, 1, 1024)
 	ld.cfg.Limits.ConnectionsPerInstance = ob.integer("connectionsPerInstance", defaultConnections, 1, 65536)
 	if ld.cfg.Limits.ConnectionsPerInstance < ld.cfg.Limits.SlotsPerInstance {
-		ob.fail("connectionsPerInstance", "fewer connections than slots")
+		ob.addProblem("connectionsPerInstance", "fewer connections than slots")
 	}
-	ob.finish()
+	ob.reportUnknownKeys()
 }
 
-// readService reads a service; keys that are missing keep what def holds.
+// readService reads a service; missing keys keep the values of def.
 func readService(ob *object, def model.Service) model.Service {
 	def.Name = weir.ServiceName(ob.name("name"))
 	def.QueueLength = ob.integer("queueLength", def.QueueLength, 0, maxCount)
@@ -215,43 +219,43 @@
 		MinAvailable: ob.integer("minAvailable", 0, 0, maxCount),
 		Spare:        ob.boolean("spare"),
 	}
-	ob.finish()
-	if !ld.once(ob, "pool", string(pol.Name)) {
+	ob.reportUnknownKeys()
+	if !ld.declareOnce(ob, "pool", string(pol.Name)) {
 		return
 	}
 	if _, ok := ld.cfg.Services[pol.Service]; !ok && pol.Service != "" {
-		ob.fail("service", "no service is named %s", pol.Service)
+		ob.addProblem("service", "no service is named %s", pol.Service)
 	}
 	ld.cfg.Pools[pol.Name] = pol
-	ld.budgets[pol.Name] = ob
+	ld.budgetObjects[pol.Name] = ob
 }
 
 func (ld *loader) readOverlay(ob *object) {
 	site := weir.Zone(ob.name("site"))
 	st, known := ld.cfg.Sites[site]
 	if !known && site != "" {
-		ob.fail("site", "overlay for an unknown site %s", site)
+		ob.addProblem("site", "overlay for an unknown site %s", site)
 	}
-	if first, ok := ld.seen["overlay "+string(site)]; ok {
-		ob.fail("site", "second overlay for %s, first in %s", site, first)
+	if first, ok := ld.declaredAt["overlay "+string(site)]; ok {
+		ob.addProblem("site", "second overlay for %s, first in %s", site, first)
 	}
-	ld.seen["overlay "+string(site)] = ob.file
-	for _, it := range ob.objects("services") {
+	ld.declaredAt["overlay "+string(site)] = ob.file
+	for _, it := range ob.mappingList("services") {
 		name := weir.ServiceName(it.name("name"))
 		base, ok := ld.cfg.Services[name]
 		if !ok {
-			it.fail("name", "no service is named %s", name)
+			it.addProblem("name", "no service is named %s", name)
 		}
 		if st.Services == nil {
 			st.Services = map[weir.ServiceName]model.Service{}
 		}
 		st.Services[name] = readService(it, base)
-		it.finish()
+		it.reportUnknownKeys()
 	}
-	for _, it := range ob.objects("instances") {
+	for _, it := range ob.mappingList("instances") {
 		ld.readInstance(it, site)
 	}
-	ob.finish()
+	ob.reportUnknownKeys()
 	if known {
 		ld.cfg.Sites[site] = st
 	}
@@ -267,37 +271,38 @@
 		MemoryMiB:    ob.memory("memory"),
 		Accelerators: ob.integer("accelerators", 0, 0, 1024),
 	}
-	ob.finish()
+	ob.reportUnknownKeys()
 	if _, ok := ld.cfg.Pools[inst.Pool]; !ok && inst.Pool != "" {
-		ob.fail("pool", "no pool is named %s", inst.Pool)
+		ob.addProblem("pool", "no pool is named %s", inst.Pool)
 	}
 	if old, ok := ld.cfg.Instances[inst.Name]; ok && old.Pool != inst.Pool {
-		ob.fail("pool", "instance %s is in two pools, %s (%s) and %s", inst.Name, old.Pool, ld.seen["instance "+string(inst.Name)], inst.Pool)
+		ob.addProblem("pool", "instance %s is in two pools, %s (%s) and %s", inst.Name, old.Pool, ld.declaredAt["instance "+string(inst.Name)], inst.Pool)
 		return
 	}
-	if ld.once(ob, "instance", string(inst.Name)) {
+	if ld.declareOnce(ob, "instance", string(inst.Name)) {
 		ld.cfg.Instances[inst.Name] = inst
 	}
 }
 
-// checkBudgets compares budgets with the pools that the overlays filled.
+// checkBudgets checks that no availability budget exceeds the number of instances
+// that the overlays declare in its pool.
 func (ld *loader) checkBudgets() {
-	if len(ld.ps.list) > 0 {
+	if len(ld.problems.list) > 0 {
 		return
 	}
 	sizes := map[weir.PoolName]int{}
 	for _, inst := range ld.cfg.Instances {
 		sizes[inst.Pool]++
 	}
-	names := make([]string, 0, len(ld.budgets))
-	for name := range ld.budgets {
+	names := make([]string, 0, len(ld.budgetObjects))
+	for name := range ld.budgetObjects {
 		names = append(names, string(name))
 	}
 	sort.Strings(names)
 	for _, name := range names {
 		pol := ld.cfg.Pools[weir.PoolName(name)]
 		if pol.MinAvailable > sizes[pol.Name] {
-			ld.budgets[pol.Name].fail("minAvailable", "budget of %d is larger than the pool of %d", pol.MinAvailable, sizes[pol.Name])
+			ld.budgetObjects[pol.Name].addProblem("minAvailable", "budget of %d is larger than the pool of %d", pol.MinAvailable, sizes[pol.Name])
 		}
 	}
 }
--- a/internal/config/file/file_test.go
+++ b/internal/config/file/file_test.go
@@ -12,19 +12,19 @@
 	"greengageweir/internal/config/model"
 )
 
-func TestGoodFiles(t *testing.T) {
+func TestValidFiles(t *testing.T) {
 	for _, dir := range []string{"testdata/good", "../../../examples/alokchitra", "../../../examples/retourpost"} {
 		t.Run(dir, func(t *testing.T) {
 			cfg, err := LoadFolder(dir)
 			require.NoError(t, err)
 			require.Empty(t, cfg.Check())
 			again := model.Config{}.With(model.Diff(model.Config{}, cfg))
-			require.Equal(t, cfg, again, "a delta from nothing gives the whole")
+			require.Equal(t, cfg, again, "the delta from an empty configuration contains everything")
 		})
 	}
 }
 
-func TestBrokenFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	cases := []struct {
 		dir, file string
 		line      int
