--- a/internal/config/model/model.go
+++ b/internal/config/model/model.go
@@ -1,6 +1,6 @@
-// Package model holds the fleet's configuration as plain values: what base
-// file and overlays say after they were checked, and the difference between
-// two of them.
+// Package model defines the fleet configuration as plain values, after the base
+// file and the overlays were merged and validated, and the delta between two
+// configurations.
 //
 // Usage:
 //
@@ -19,7 +19,7 @@
 	weir "greengageweir"
 )
 
-// Duration is a time.Duration that is written as text, for example "2s".
+// Duration is a time.Duration that is encoded as text, for example "2s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -32,21 +32,21 @@
 	return err
 }
 
-// Limits bound what one instance may be given.
+// Limits limits the concurrent requests and connections of one instance.
 type Limits struct {
 	SlotsPerInstance       int `json:"slotsPerInstance"`
 	ConnectionsPerInstance int `json:"connectionsPerInstance"`
 }
 
-// Service is what callers ask for.
+// Service is a service that callers send requests to.
 type Service struct {
 	Name weir.ServiceName `json:"name"`
-	// QueueLength bounds the requests that wait at one entry instance.
+	// QueueLength limits the requests that wait at one entry instance.
 	QueueLength int `json:"queueLength"`
-	// Timeout is the deadline of a request that declares none.
+	// Timeout is the default for requests without a deadline of their own.
 	Timeout Duration `json:"timeout"`
-	// DeferrableShare is the share of slots, in percent, that deferrable work
-	// gets while urgent work waits.
+	// DeferrableShare is the share of slots, in percent, that deferrable requests
+	// get while urgent requests wait.
 	DeferrableShare int `json:"deferrableShare"`
 }
 
@@ -54,22 +54,22 @@
 type Pool struct {
 	Name    weir.PoolName    `json:"name"`
 	Service weir.ServiceName `json:"service"`
-	// MinAvailable is the availability budget: planned work never leaves the
-	// pool with fewer instances.
+	// MinAvailable is the availability budget: maintenance and moves never leave
+	// fewer instances of the pool available.
 	MinAvailable int `json:"minAvailable"`
-	// Spare pools lend instances to others.
+	// Spare pools lend instances to other pools.
 	Spare bool `json:"spare,omitempty"`
 }
 
 // Team is a group of callers with a quota.
 type Team struct {
 	Name weir.TeamName `json:"name"`
-	// QuotaSlots bounds the slots that the team uses at one entry instance
-	// while others wait.
+	// QuotaSlots limits the slots that the team uses at one entry instance while
+	// other teams wait.
 	QuotaSlots int `json:"quotaSlots"`
 }
 
-// Instance is a worker as the configuration declares it.
+// Instance is a worker as declared in the configuration.
 type Instance struct {
 	Name         weir.InstanceID `json:"name"`
 	Zone         weir.Zone       `json:"zone"`
@@ -80,14 +80,14 @@
 	Accelerators int             `json:"accelerators,omitempty"`
 }
 
-// Site is one availability zone with what its overlay changes.
+// Site is one availability zone with the changes of its overlay.
 type Site struct {
 	Name weir.Zone `json:"name"`
-	// Services replace the base file's services at this site.
+	// Services override the base file's services at this site.
 	Services map[weir.ServiceName]Service `json:"services,omitempty"`
 }
 
-// Config is a whole checked configuration. Treat it as immutable.
+// Config is a complete fleet configuration. Treat it as immutable.
 type Config struct {
 	Name      string                       `json:"name"`
 	Limits    Limits                       `json:"limits"`
@@ -98,7 +98,8 @@
 	Instances map[weir.InstanceID]Instance `json:"instances"`
 }
 
-// Delta is the difference between two configurations.
+// Delta is the difference between two configurations: items that were added or
+// changed, and the names of items to remove. Unset fields change nothing.
 type Delta struct {
 	Name          string                       `json:"name,omitempty"`
 	Limits        *Limits                      `json:"limits,omitempty"`
@@ -117,7 +118,7 @@
 // Empty reports whether the delta changes nothing.
 func (dl Delta) Empty() bool { return reflect.DeepEqual(dl, Delta{}) }
 
-// Diff returns what turns from into to.
+// Diff returns the delta that turns from into to.
 func Diff(from, to Config) Delta {
 	dl := Delta{}
 	if from.Name != to.Name {
@@ -135,7 +136,7 @@
 	return dl
 }
 
-// With returns the configuration changed by the delta.
+// With returns a copy of the configuration with the delta applied.
 func (cf Config) With(dl Delta) Config {
 	if dl.Name != "" {
 		cf.Name = dl.Name
@@ -172,7 +173,8 @@
 	return put, drop
 }
 
-// patchMap copies only the maps that change.
+// patchMap returns from with the changes applied. It copies the map only if there
+// are changes.
 func patchMap[K ~string, V any](from, put map[K]V, drop []K) map[K]V {
 	if len(put) == 0 && len(drop) == 0 {
 		return from
@@ -190,7 +192,7 @@
 	return to
 }
 
-// ServiceAt returns a service as it is at a site.
+// ServiceAt returns a service with the overrides of a site.
 func (cf Config) ServiceAt(site weir.Zone, name weir.ServiceName) (Service, bool) {
 	if svc, ok := cf.Sites[site].Services[name]; ok {
 		return svc, true
@@ -199,7 +201,8 @@
 	return svc, ok
 }
 
-// ForSite returns the configuration as one site sees it.
+// ForSite returns the configuration of one site: its service overrides applied,
+// and only its instances.
 func (cf Config) ForSite(site weir.Zone) Config {
 	out := cf
 	out.Services = patchMap(cf.Services, cf.Sites[site].Services, nil)
@@ -213,7 +216,7 @@
 	return out
 }
 
-// Checksum identifies the content of a configuration.
+// Checksum returns a checksum of the content, or "" if it cannot be encoded.
 func (cf Config) Checksum() string {
 	body, err := json.Marshal(cf)
 	if err != nil {
@@ -224,7 +227,8 @@
 	return strconv.FormatUint(sum.Sum64(), 16)
 }
 
-// Problem is one reason why a configuration is not accepted.
+// Problem is one reason why a configuration is rejected. File and Line are unset
+// if it does not come from a file.
 type Problem struct {
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
@@ -232,8 +236,8 @@
 	Message string `json:"message"`
 }
 
-// Check returns what is wrong with a configuration as a whole. The control
-// process checks again what a client sends.
+// Check returns the inconsistencies of a configuration, sorted by path. The
+// control process repeats this check for every configuration that a client sends.
 func (cf Config) Check() []Problem {
 	var probs []Problem
 	add := func(path, message string) { probs = append(probs, Problem{Path: path, Message: message}) }
