--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -4,7 +4,7 @@
 //
 // Usage:
 //
-//	jb := spec.Job{ID: "5c0e7a21d94b36f8", Queue: "bookings", Steps: []spec.Step{{Count: 4, Need: need}}}
+//	jb := spec.Job{ID: "5c0e7a21d94b36f8", Queue: "bookings", Steps: []spec.Step{{Count: 4, Resources: res}}}
 //	err := jb.Check() // Kind KindInvalid names the first wrong field
 package spec
 
--- a/internal/job/store/state.go
+++ b/internal/job/store/state.go
@@ -174,8 +174,8 @@
 
 // add returns the load with count more runs of a step; count may be negative.
 func (wl WorkerLoad) add(step spec.Step, count int) WorkerLoad {
-	need := step.Reserved()
-	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * need.MilliCPU, MemoryMB: count * need.MemoryMB, GPU: count * need.GPU})
+	reserved := step.Reserved()
+	wl.Used = wl.Used.Plus(spec.Resources{MilliCPU: count * reserved.MilliCPU, MemoryMB: count * reserved.MemoryMB, GPU: count * reserved.GPU})
 	switch {
 	case step.BestEffort:
 		wl.BestEffort += count
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -42,9 +42,9 @@
 	return pk
 }
 
-func testWorker(ix int, born int64) *Worker {
+func testWorker(ix int, incarnation int64) *Worker {
 	return &Worker{
-		ID: weir.InstanceID(fmt.Sprint("w", ix)), Incarnation: born, Pool: "desk", Address: fmt.Sprint("addr", ix),
+		ID: weir.InstanceID(fmt.Sprint("w", ix)), Incarnation: incarnation, Pool: "desk", Address: fmt.Sprint("addr", ix),
 		Machine: fmt.Sprint("m", ix), Capacity: spec.Resources{MilliCPU: 8000},
 	}
 }
@@ -282,7 +282,7 @@
 		for job := range 3 {
 			fx.submit(fmt.Sprint("j", job), spec.Step{Count: 2, Resources: spec.Resources{MilliCPU: 500}}, spec.Step{Count: 1, After: []int{0}})
 		}
-		hows := []EndReason{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
+		reasons := []EndReason{EndDone, EndFailed, EndLost, EndStopped, EndRefused}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			job := fmt.Sprint("j", rapid.IntRange(0, 2).Draw(rt, "job"))
 			step, index := rapid.IntRange(0, 1).Draw(rt, "step"), rapid.IntRange(0, 1).Draw(rt, "index")
@@ -291,7 +291,7 @@
 			case 0, 1, 2, 3:
 				fx.apply(start(job, step, index, run, worker))
 			case 4, 5, 6:
-				fx.apply(end(job, step, index, run, rapid.SampledFrom(hows).Draw(rt, "how")))
+				fx.apply(end(job, step, index, run, rapid.SampledFrom(reasons).Draw(rt, "how")))
 			case 7:
 				id := spec.JobID(job)
 				fx.apply(Change{Cancel: &id})
