--- a/internal/job/handler/handler.go
+++ b/internal/job/handler/handler.go
@@ -34,7 +34,7 @@
 	// the wait: workers and operators try another process after a second.
 	leaderPoll = 40 * time.Millisecond
 	leaderWait = 800 * time.Millisecond
-	// retryUnavailable is the retry delay told to callers while no leader is
+	// retryUnavailable is the retry delay sent to callers while no leader is
 	// reachable: about the duration of an election.
 	retryUnavailable = time.Second
 )
--- a/weir.go
+++ b/weir.go
@@ -45,7 +45,7 @@
 
 // The kinds of responses; every request gets exactly one of them.
 const (
-	// Complete means that the response is the complete one of the endpoint.
+	// Complete means that the endpoint returned a complete response.
 	Complete OutcomeKind = "whole"
 	// NotRun means that the request certainly did not run and may be sent again.
 	NotRun OutcomeKind = "notRun"
@@ -90,7 +90,7 @@
 	Do(ctx context.Context, req Request) Response
 }
 
-// Component is one long-running component of a process.
+// Component is one part of a process that runs until the process stops.
 type Component interface {
 	// String returns the name of the component in logs.
 	String() string
