--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -14,54 +14,57 @@
 )
 
 const (
-	// LeaseDuration is how long an endpoint is leased from its announcement on.
+	// LeaseDuration is the validity of an endpoint's lease after an
+	// announcement.
 	LeaseDuration = 3 * time.Second
-	// AnnounceInterval is when an endpoint announces itself again.
+	// AnnounceInterval is the interval between announcements of an endpoint.
 	AnnounceInterval = time.Second
 
-	// usageReportsPerSecond bounds the usage reports of the whole fleet, which
-	// all pass through the replicated log.
+	// usageReportsPerSecond limits the usage reports of the whole fleet, since
+	// all of them go through the replicated log.
 	usageReportsPerSecond = 500
 )
 
-// Announce takes an endpoint's announcement and grants or refuses a lease.
+// Announce processes an endpoint's announcement and grants, renews or refuses
+// its lease.
 func (tb *Table) Announce(ann endpoint.Announcement) endpoint.AnnounceResponse {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
-	if reason := tb.refusal(ann); reason != "" {
+	if reason := tb.refusalReason(ann); reason != "" {
 		return endpoint.AnnounceResponse{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
 	}
 	wk := tb.workerFor(ann)
 	wasUp := wk.up(now)
 	wk.expires = now.Add(LeaseDuration)
 	wk.leaving = ann.State == endpoint.Leaving
-	wk.seen = max(wk.seen, ann.SeenView)
-	wk.reported = ann.InFlight
+	wk.seenView = max(wk.seenView, ann.SeenView)
+	wk.reportedInFlight = ann.InFlight
 	wk.foreign = min(wk.foreign, max(0, ann.InFlight-wk.busy))
 	if wk.up(now) != wasUp {
-		tb.dirty[wk.id] = true
+		tb.unreported[wk.id] = true
 	}
 	tb.usage.add(ann.Usage)
 	if wk.serving {
-		tb.pumpFor(now, wk)
+		tb.grantWaitingFor(now, wk)
 	}
 	return endpoint.AnnounceResponse{
 		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), AnnounceMillis: AnnounceInterval.Milliseconds(),
-		UsageMillis: usageEvery(len(tb.view.Members)).Milliseconds(),
-		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.settledUpTo(wk.id, wk.lease.Incarnation),
+		UsageMillis: usageReportInterval(len(tb.view.Members)).Milliseconds(),
+		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.ackedUpTo(wk.id, wk.lease.Incarnation),
 	}
 }
 
-// usageEvery returns the time between two usage reports of one endpoint.
-func usageEvery(fleet int) time.Duration {
+// usageReportInterval returns the interval between usage reports of an
+// endpoint in a fleet of the given number of instances.
+func usageReportInterval(fleet int) time.Duration {
 	return max(AnnounceInterval, time.Duration(fleet)*time.Second/usageReportsPerSecond)
 }
 
-// refusal tells why a lease is not granted, or "". An endpoint that has seen a
-// newer view than this entry instance is refused: it may have been drained
-// under that view.
-func (tb *Table) refusal(ann endpoint.Announcement) string {
+// refusalReason returns why a lease is refused, or "". An endpoint that has
+// seen a newer view than this entry instance is refused, because that view may
+// drain it.
+func (tb *Table) refusalReason(ann endpoint.Announcement) string {
 	old, known := tb.workers[ann.Instance]
 	switch {
 	case tb.stopping:
@@ -76,7 +79,8 @@
 	return ""
 }
 
-// workerFor returns the worker of an announcement, anew where the lease is.
+// workerFor returns the worker of an announcement. It creates a new one for a
+// new instance, lease or address.
 func (tb *Table) workerFor(ann endpoint.Announcement) *worker {
 	old, known := tb.workers[ann.Instance]
 	if known && old.lease == ann.Lease && old.addr == ann.Address {
@@ -95,13 +99,13 @@
 		wk.ejectedAt, wk.ejectedUntil = old.ejectedAt, old.ejectedUntil
 	}
 	tb.workers[ann.Instance] = wk
-	tb.dirty[wk.id] = true
+	tb.unreported[wk.id] = true
 	tb.attach(wk)
 	return wk
 }
 
-// Sweep ends leases that ran out and returns the status of all instances that
-// changed since the last call, or of all if full is set.
+// Sweep removes expired leases and returns the status of the instances that
+// changed since the last call, or of all instances if full is set.
 func (tb *Table) Sweep(entry string, full bool) []command.Status {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -110,9 +114,9 @@
 	for id, wk := range tb.workers {
 		expired := !now.Before(wk.expires)
 		if expired {
-			tb.dirty[id] = true
+			tb.unreported[id] = true
 		}
-		if full || tb.dirty[id] {
+		if full || tb.unreported[id] {
 			list = append(list, command.Status{
 				Instance: id, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, Up: wk.up(now), Entry: entry,
 			})
@@ -124,60 +128,62 @@
 			tb.usage.forget(id)
 		}
 	}
-	clear(tb.dirty)
-	// Pauses of ejected workers end without any other event.
-	tb.pumpAll(now)
+	clear(tb.unreported)
+	// No other event occurs when the ejection of a worker ends.
+	tb.grantAllWaiting(now)
 	return list
 }
 
-// RequeueStatuses marks instances whose status did not reach the leader.
+// RequeueStatuses marks instances whose status did not reach the leader, so
+// that the next Sweep returns them again.
 func (tb *Table) RequeueStatuses(list []command.Status) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, sta := range list {
 		if _, ok := tb.workers[sta.Instance]; ok {
-			tb.dirty[sta.Instance] = true
+			tb.unreported[sta.Instance] = true
 		}
 	}
 }
 
-// Consents returns a consent for each draining instance that is leased here,
-// has seen the drain itself and holds no work.
-func (tb *Table) Consents(entry string) []command.DrainConfirmation {
+// DrainConfirmations returns a confirmation for each draining instance that is
+// leased here, has seen the view with its drain and has no request in flight.
+func (tb *Table) DrainConfirmations(entry string) []command.DrainConfirmation {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	var list []command.DrainConfirmation
 	for id, wk := range tb.workers {
 		mem := tb.view.Members[id]
-		idle := wk.busy == 0 && wk.foreign == 0 && wk.reported == 0
-		if mem.Phase != view.Draining || !idle || wk.seen < mem.SinceIndex {
+		idle := wk.busy == 0 && wk.foreign == 0 && wk.reportedInFlight == 0
+		if mem.Phase != view.Draining || !idle || wk.seenView < mem.SinceIndex {
 			continue
 		}
 		invariant.Check(!wk.serving, "drainedGetsNoWork", "instance", id)
 		list = append(list, command.DrainConfirmation{
-			Instance: id, Entry: entry, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, View: wk.seen,
+			Instance: id, Entry: entry, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, View: wk.seenView,
 		})
 	}
 	return list
 }
 
-// PendingUsage returns the reports that are not settled yet.
+// PendingUsage returns usage reports that the leader has not acknowledged.
 func (tb *Table) PendingUsage() []command.UsageReport {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	return tb.usage.pending()
 }
 
-// AcknowledgeUsage takes the leader's word on which reports are counted.
+// AcknowledgeUsage drops the usage reports that the leader has counted.
 func (tb *Table) AcknowledgeUsage(marks []command.UsageAck) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, mk := range marks {
-		tb.usage.settle(mk)
+		tb.usage.acknowledge(mk)
 	}
 }
 
-// FreeSlots returns the free slots of each service that others may use.
+// FreeSlots returns, for each service, the free slots that other entry
+// instances may use. Services with waiting requests offer none.
 func (tb *Table) FreeSlots() map[weir.ServiceName]int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -196,11 +202,11 @@
 			}
 		}
 	}
-	tb.addLent(now, free)
+	tb.addLendable(now, free)
 	return free
 }
 
-// Demand returns the load of each service.
+// Demand returns the current load of each service.
 func (tb *Table) Demand() []peerapi.Demand {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -211,7 +217,7 @@
 	return list
 }
 
-// EndpointState is an endpoint as this entry instance sees it.
+// EndpointState is the state of an endpoint at this entry instance.
 type EndpointState struct {
 	Instance weir.InstanceID  `json:"instance"`
 	Address  string           `json:"address"`
@@ -224,7 +230,7 @@
 	Ejected  bool             `json:"ejected,omitempty"`
 }
 
-// Endpoints returns all endpoints for the state dump.
+// Endpoints returns the state of all leased endpoints, for the state dump.
 func (tb *Table) Endpoints() []EndpointState {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/internal/entry/placement/place_test.go
+++ b/internal/entry/placement/placement_test.go
@@ -60,14 +60,14 @@
 	_, err := tb.TryAcquire(request(clk))
 	require.True(t, errkind.Is(err, KindNoSlot))
 	slots[0].Release(Succeeded)
-	slots[0].Release(Succeeded) // a second release does nothing
+	slots[0].Release(Succeeded) // a second release has no effect
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
 	require.True(t, errkind.Is(err, KindNoSlot))
 }
 
-func TestLeaseTable(t *testing.T) {
+func TestAnnounceGrantsOrRefusesLease(t *testing.T) {
 	cases := []struct {
 		name    string
 		change  func(ann *endpoint.Announcement)
@@ -108,9 +108,10 @@
 	require.Empty(t, tb.Sweep("e", true))
 }
 
-// TestTakeoverCountsWorkOfTheEarlierOwner covers an entry instance that takes
-// an endpoint over while requests of the earlier owner still run there.
-func TestTakeoverCountsWorkOfTheEarlierOwner(t *testing.T) {
+// TestTakeoverCountsRequestsOfPreviousOwner guards against overloading an
+// endpoint that changes to this entry instance while requests of its previous
+// owner are still in flight.
+func TestTakeoverCountsRequestsOfPreviousOwner(t *testing.T) {
 	tb, clk := testTable(t, 0)
 	tb.SetView(testView(2, 1))
 	ann := announcement("n0", 2)
@@ -119,8 +120,8 @@
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	_, err = tb.TryAcquire(request(clk))
-	require.True(t, errkind.Is(err, KindNoSlot), "one slot is still used")
-	tb.Announce(ann) // ours is the one in flight now
+	require.True(t, errkind.Is(err, KindNoSlot), "the previous owner's request still holds a slot")
+	tb.Announce(ann) // the request in flight is now our own
 	_, err = tb.TryAcquire(request(clk))
 	require.NoError(t, err)
 	slot.Release(Succeeded)
@@ -142,8 +143,8 @@
 			require.False(t, ep.Up, "an ejected endpoint does not count as available")
 		}
 	}
-	require.Equal(t, 2, ejected, "a wave of failures takes at most half")
-	clk.Advance(ejectMin + time.Second)
+	require.Equal(t, 2, ejected, "at most half of the endpoints are ejected")
+	clk.Advance(minEjection + time.Second)
 	read := request(clk)
 	read.Repeatable = true
 	var slots []*Slot
@@ -152,7 +153,7 @@
 			slots = append(slots, slot)
 		}
 	}
-	require.Len(t, slots, 4+2, "each ejected endpoint is probed with one read")
+	require.Len(t, slots, 4+2, "each ejected endpoint is probed with one repeatable request")
 	for _, slot := range slots {
 		slot.Release(Succeeded)
 	}
@@ -161,8 +162,9 @@
 	}
 }
 
-// TestSparePoolLends covers what another service may take from a spare pool:
-// free slots but for the reserve, and nothing while its own requests wait.
+// TestSparePoolLends checks what another service may borrow from a spare pool:
+// its free slots except the reserve, and nothing while requests of its own
+// service wait.
 func TestSparePoolLends(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1_800_000_000, 0))
 	tb := New(clk, "north")
@@ -184,22 +186,23 @@
 		}
 		lent = append(lent, slot)
 	}
-	require.Len(t, lent, 18, "a tenth of twenty slots stays for its own service")
+	require.Len(t, lent, 18, "a tenth of twenty slots is reserved for the pool's own service")
 	for range 2 {
 		_, err := tb.TryAcquire(request(clk))
-		require.NoError(t, err, "its own requests get the reserve")
+		require.NoError(t, err, "the pool's own service gets the reserve")
 	}
 	own := wait(tb, request(clk))
 	other := wait(tb, lab)
 	lent[0].Release(Succeeded)
-	require.NoError(t, <-own, "its own request goes first")
+	require.NoError(t, <-own, "the pool's own service goes first")
 	for _, slot := range lent[1:4] {
 		slot.Release(Succeeded)
 	}
 	require.NoError(t, <-other)
 }
 
-// wait starts an Acquire and returns its outcome.
+// wait starts an Acquire, waits until it is queued and returns a channel with
+// its error.
 func wait(tb *Table, req *weir.Request) <-chan error {
 	done := make(chan error, 1)
 	before := tb.waitingFor(req.Service)
@@ -243,7 +246,7 @@
 	}
 }
 
-func TestLateIsRefusedEarly(t *testing.T) {
+func TestAcquireRefusesRequestThatWouldMissDeadline(t *testing.T) {
 	tb, clk := testTable(t, 1)
 	slots := make([]*Slot, 2)
 	for round := range 2 {
@@ -253,7 +256,7 @@
 			require.NoError(t, err)
 		}
 		if round == 0 {
-			clk.Advance(2 * time.Second) // each takes two seconds
+			clk.Advance(2 * time.Second) // sets the average hold time
 			slots[0].Release(Succeeded)
 			slots[1].Release(Succeeded)
 			tb.Announce(announcement("n0", 1))
@@ -283,11 +286,11 @@
 	later.Class = weir.Deferrable
 	deferred := wait(tb, later)
 	slots[0].Release(Succeeded)
-	require.NoError(t, <-deferred, "below its share it goes first")
+	require.NoError(t, <-deferred, "deferrable requests go first while they hold less than their share")
 	require.NoError(t, <-urgent)
 }
 
-func TestConsentNeedsTheDrainToBeSeen(t *testing.T) {
+func TestDrainConfirmationRequiresSeenDrain(t *testing.T) {
 	tb, clk := testTable(t, 1)
 	slot, err := tb.TryAcquire(request(clk))
 	require.NoError(t, err)
@@ -296,29 +299,29 @@
 	tb.SetView(vw)
 	_, err = tb.TryAcquire(request(clk))
 	require.Error(t, err, "a draining instance gets no work")
-	require.Empty(t, tb.Consents("e"), "work is in flight")
+	require.Empty(t, tb.DrainConfirmations("e"), "work is in flight")
 	slot.Release(Succeeded)
-	require.Empty(t, tb.Consents("e"), "the endpoint has not seen the drain")
+	require.Empty(t, tb.DrainConfirmations("e"), "the endpoint has not seen the drain")
 	ann := announcement("n0", 1)
 	ann.SeenView = 5
 	tb.Announce(ann)
-	require.Len(t, tb.Consents("e"), 1)
+	require.Len(t, tb.DrainConfirmations("e"), 1)
 }
 
-// BenchmarkCancelBurst measures how a burst of cancellations costs at several
+// BenchmarkCancelBurst measures the cost of cancelling all waiters at several
 // lengths of the queue.
 func BenchmarkCancelBurst(b *testing.B) {
 	for _, length := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(length), func(b *testing.B) {
-			la := newLane()
+			cq := newClassQueue()
 			wts := make([]*waiter, length)
 			for b.Loop() {
 				for ix := range wts {
 					wts[ix] = &waiter{req: &weir.Request{Team: weir.TeamName(fmt.Sprint(ix % 130))}}
-					la.push(wts[ix])
+					cq.push(wts[ix])
 				}
 				for _, wt := range wts {
-					la.remove(wt)
+					cq.remove(wt)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(length), "ns/waiter")
@@ -344,9 +347,9 @@
 	}
 }
 
-// BenchmarkTakeZone measures the announcements of a whole zone at once, as
-// after the restart of an entry instance.
-func BenchmarkTakeZone(b *testing.B) {
+// BenchmarkAnnounceZone measures the announcements of all endpoints of a zone,
+// as after the restart of an entry instance.
+func BenchmarkAnnounceZone(b *testing.B) {
 	for _, count := range []int{50, 500, 2000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			clk := clock.NewManual(time.Unix(1_800_000_000, 0))
@@ -363,9 +366,10 @@
 	}
 }
 
-// TestWaiterThatWouldEndLateIsRefused lets a slot become free when the first waiter
-// could no longer be answered in time.
-func TestWaiterThatWouldEndLateIsRefused(t *testing.T) {
+// TestWaiterThatWouldMissDeadlineIsRefused guards against granting a slot to a
+// waiter whose request would end after its deadline: the slot becomes free when
+// less than the average hold time is left.
+func TestWaiterThatWouldMissDeadlineIsRefused(t *testing.T) {
 	tb, clk := testTable(t, 1)
 	slots := make([]*Slot, 2)
 	for ix := range slots {
@@ -373,20 +377,20 @@
 		slots[ix], err = tb.TryAcquire(request(clk))
 		require.NoError(t, err)
 	}
-	tb.queue("desk").meanSeconds = 2
+	tb.queue("desk").meanHoldSeconds = 2
 	late := request(clk)
 	late.Deadline = clk.Now().Add(3 * time.Second)
 	first := wait(tb, late)
 	second := wait(tb, request(clk))
 	clk.Advance(1500 * time.Millisecond)
 	slots[0].Release(Succeeded)
-	require.True(t, errkind.Is(<-first, KindDeadlineExceeded), "refused while the caller still waits")
+	require.True(t, errkind.Is(<-first, KindDeadlineExceeded), "refused before its deadline")
 	require.NoError(t, <-second)
 }
 
-// TestBorrowedSlotsCountForTheEstimate covers a service that holds far more
-// slots of a spare pool than of its own: what waits goes on at the pace of all
-// of them.
+// TestBorrowedSlotsCountForTheEstimate guards against refusing requests that
+// would end in time: a service holds far more slots of a spare pool than of its
+// own, and its queue advances with all of them.
 func TestBorrowedSlotsCountForTheEstimate(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1_800_000_000, 0))
 	tb := New(clk, "north")
@@ -410,7 +414,7 @@
 		slots = append(slots, slot)
 	}
 	require.Len(t, slots, 2+18)
-	tb.queue("lab").meanSeconds = 1
+	tb.queue("lab").meanHoldSeconds = 1
 	var done []<-chan error
 	for range 10 {
 		done = append(done, wait(tb, lab))
@@ -418,7 +422,7 @@
 	hurried := *lab
 	hurried.Deadline = clk.Now().Add(3 * time.Second)
 	last := wait(tb, &hurried)
-	require.Empty(t, last, "ten waiters at twenty slots of a second each are no reason to refuse")
+	require.Empty(t, last, "ten waiters at twenty slots, held for one second each, end within three seconds")
 	for _, slot := range slots {
 		slot.Release(Succeeded)
 	}
--- a/internal/entry/placement/queue.go
+++ b/internal/entry/placement/queue.go
@@ -12,58 +12,60 @@
 	req     *weir.Request
 	granted chan *Slot
 	elem    *list.Element
-	lane    *lane
+	queue   *classQueue
 }
 
-// lane holds the waiters of one class, a list for each team, served in turn.
-type lane struct {
+// classQueue holds the waiters of one class in a list for each team, from
+// which it picks round robin.
+type classQueue struct {
 	teams map[weir.TeamName]*list.List
 	order []weir.TeamName
 	next  int
 	count int
 }
 
-func newLane() *lane { return &lane{teams: map[weir.TeamName]*list.List{}} }
+func newClassQueue() *classQueue { return &classQueue{teams: map[weir.TeamName]*list.List{}} }
 
-func (la *lane) push(wt *waiter) {
+func (cq *classQueue) push(wt *waiter) {
 	team := wt.req.Team
-	queue, ok := la.teams[team]
+	queue, ok := cq.teams[team]
 	if !ok {
 		queue = list.New()
-		la.teams[team] = queue
-		la.order = append(la.order, team)
+		cq.teams[team] = queue
+		cq.order = append(cq.order, team)
 	}
 	wt.elem = queue.PushBack(wt)
-	wt.lane = la
-	la.count++
+	wt.queue = cq
+	cq.count++
 }
 
-// remove takes a waiter out; it costs the same at any length of the queue.
-func (la *lane) remove(wt *waiter) {
+// remove removes a waiter in constant time, so that many cancellations at once
+// stay cheap in a long queue.
+func (cq *classQueue) remove(wt *waiter) {
 	if wt.elem == nil {
 		return
 	}
-	la.teams[wt.req.Team].Remove(wt.elem)
+	cq.teams[wt.req.Team].Remove(wt.elem)
 	wt.elem = nil
-	la.count--
+	cq.count--
 }
 
-// pick returns the next waiter that fits, teams in turn, without removing it.
-// Waiters that would end past their deadline are dropped on the way, since
-// work that nobody waits for takes the slot of work that somebody does.
-func (la *lane) pick(ends time.Time, fits func(wt *waiter) bool) *waiter {
-	for range la.order {
-		if la.next >= len(la.order) {
-			la.next = 0
+// pick returns the next waiter that fits, round robin over the teams, without
+// removing it. Waiters whose request would end after its deadline are dropped:
+// nobody would use the response, and another request could use the slot.
+func (cq *classQueue) pick(ends time.Time, fits func(wt *waiter) bool) *waiter {
+	for range cq.order {
+		if cq.next >= len(cq.order) {
+			cq.next = 0
 		}
-		queue := la.teams[la.order[la.next]]
-		la.next++
+		queue := cq.teams[cq.order[cq.next]]
+		cq.next++
 		for front := queue.Front(); front != nil; front = queue.Front() {
 			wt := front.Value.(*waiter) // only waiters are pushed
 			if ends.Before(wt.req.Deadline) {
 				break
 			}
-			la.remove(wt)
+			cq.remove(wt)
 			close(wt.granted)
 		}
 		if front := queue.Front(); front != nil {
@@ -73,72 +75,75 @@
 			}
 		}
 	}
-	la.forgetIdleTeams()
+	cq.forgetIdleTeams()
 	return nil
 }
 
 // othersWait reports whether another team has waiters.
-func (la *lane) othersWait(team weir.TeamName) bool {
-	queue, ok := la.teams[team]
-	return !ok || la.count > queue.Len()
+func (cq *classQueue) othersWait(team weir.TeamName) bool {
+	queue, ok := cq.teams[team]
+	return !ok || cq.count > queue.Len()
 }
 
-func (la *lane) forgetIdleTeams() {
-	if la.count > 0 || len(la.order) == 0 {
+func (cq *classQueue) forgetIdleTeams() {
+	if cq.count > 0 || len(cq.order) == 0 {
 		return
 	}
-	la.teams = map[weir.TeamName]*list.List{}
-	la.order = nil
-	la.next = 0
+	cq.teams = map[weir.TeamName]*list.List{}
+	cq.order = nil
+	cq.next = 0
 }
 
-// serviceQueue holds what waits for one service, and its slots' use.
+// serviceQueue holds the workers of one service, its waiters and the use of its
+// slots.
 type serviceQueue struct {
 	service    weir.ServiceName
-	urgent     *lane
-	deferrable *lane
+	urgent     *classQueue
+	deferrable *classQueue
 	busy       int
-	// deferrableBusy counts the busy slots that deferrable work holds.
+	// deferrableBusy is the number of busy slots with deferrable requests.
 	deferrableBusy int
 	teamBusy       map[weir.TeamName]int
-	// meanSeconds is a moving average of the time that a slot is held.
-	meanSeconds float64
-	workers     []*worker
+	// meanHoldSeconds is the moving average of the time that a request holds
+	// its slot.
+	meanHoldSeconds float64
+	workers         []*worker
 }
 
 func newServiceQueue(service weir.ServiceName) *serviceQueue {
-	return &serviceQueue{service: service, urgent: newLane(), deferrable: newLane(), teamBusy: map[weir.TeamName]int{}}
+	return &serviceQueue{service: service, urgent: newClassQueue(), deferrable: newClassQueue(), teamBusy: map[weir.TeamName]int{}}
 }
 
 func (sq *serviceQueue) waiting() int { return sq.urgent.count + sq.deferrable.count }
 
-func (sq *serviceQueue) lane(class weir.Class) *lane {
+func (sq *serviceQueue) forClass(class weir.Class) *classQueue {
 	if class == weir.Deferrable {
 		return sq.deferrable
 	}
 	return sq.urgent
 }
 
-// meanWeight is the weight of a new value in the moving average.
+// meanWeight is the weight of a new value in the exponential moving average.
 const meanWeight = 0.05
 
-func (sq *serviceQueue) learn(held time.Duration) {
-	if sq.meanSeconds == 0 {
-		sq.meanSeconds = held.Seconds()
+func (sq *serviceQueue) recordHold(held time.Duration) {
+	if sq.meanHoldSeconds == 0 {
+		sq.meanHoldSeconds = held.Seconds()
 		return
 	}
-	sq.meanSeconds += meanWeight * (held.Seconds() - sq.meanSeconds)
+	sq.meanHoldSeconds += meanWeight * (held.Seconds() - sq.meanHoldSeconds)
 }
 
-// held returns how long a slot is held on average.
-func (sq *serviceQueue) held() time.Duration {
-	return time.Duration(sq.meanSeconds * float64(time.Second))
+// meanHold returns the average time that a request holds its slot.
+func (sq *serviceQueue) meanHold() time.Duration {
+	return time.Duration(sq.meanHoldSeconds * float64(time.Second))
 }
 
-// expectedEnd estimates how long it takes until a new waiter of the class has
-// its answer. Slots are those of the service's own workers; where it holds
-// more, with borrowed ones, the queue goes on at the pace of all of them.
-func (sq *serviceQueue) expectedEnd(class weir.Class, slots int) time.Duration {
+// expectedResponseTime estimates the time until a new waiter of the class has
+// its response. The parameter slots is the number of slots of the service's own
+// workers. If the service holds more, including borrowed ones, that number
+// counts instead, since the queue advances with all of them.
+func (sq *serviceQueue) expectedResponseTime(class weir.Class, slots int) time.Duration {
 	slots = max(slots, sq.busy)
 	if slots == 0 {
 		return 0
@@ -147,5 +152,5 @@
 	if class == weir.Deferrable {
 		ahead += sq.deferrable.count
 	}
-	return time.Duration(float64(ahead)/float64(slots)*float64(sq.held())) + sq.held()
+	return time.Duration(float64(ahead)/float64(slots)*float64(sq.meanHold())) + sq.meanHold()
 }
--- a/internal/entry/placement/spare.go
+++ b/internal/entry/placement/spare.go
@@ -8,14 +8,14 @@
 	weir "greengageweir"
 )
 
-// spareReserve is the share of a spare pool's slots, in percent, that is kept
-// free for its own service.
+// spareReserve is the share of a spare pool's slots, in percent, that is
+// reserved for the pool's own service.
 const spareReserve = 10
 
 // borrow returns a worker of a spare pool for a request of another service.
-// Peaks last seconds, which is too short to move an instance; a borrowed slot
-// is there at once and is no move. The spare pool's own requests go first:
-// nothing is lent while one of them waits.
+// Load peaks last seconds, which is too short to move an instance to another
+// pool, whereas a borrowed slot is available at once. A spare pool lends
+// nothing while requests of its own service wait.
 func (tb *Table) borrow(now time.Time, service weir.ServiceName, repeatable bool) *worker {
 	for _, sq := range tb.spares {
 		if sq.service == service || sq.waiting() > 0 || tb.lendable(now, sq) <= 0 {
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// lendable returns how many free slots of a spare pool others may use.
+// lendable returns the number of free slots of a spare pool that other services
+// may use.
 func (tb *Table) lendable(now time.Time, sq *serviceQueue) int {
 	free, total := 0, 0
 	for _, wk := range sq.workers {
@@ -40,7 +41,7 @@
 	return free - total*spareReserve/100
 }
 
-// findSpares notes the queues of the services whose pools lend.
+// findSpares collects the queues of services with spare pools, by name.
 func (tb *Table) findSpares() {
 	tb.spares = tb.spares[:0]
 	for _, pol := range tb.view.Config.Pools {
@@ -51,28 +52,28 @@
 	slices.SortFunc(tb.spares, func(a, b *serviceQueue) int { return strings.Compare(string(a.service), string(b.service)) })
 }
 
-// pumpFor hands a slot that has become free on a worker to who waits for it:
-// its own service, or for a spare pool's worker any other.
-func (tb *Table) pumpFor(now time.Time, wk *worker) {
+// grantWaitingFor grants a slot that has become free on a worker to a waiter of
+// its service, or of any service if the worker is in a spare pool.
+func (tb *Table) grantWaitingFor(now time.Time, wk *worker) {
 	own := tb.queue(wk.service)
-	tb.pump(now, own)
+	tb.grantWaiting(now, own)
 	for _, spare := range tb.spares {
 		if spare == own {
-			tb.pumpAll(now)
+			tb.grantAllWaiting(now)
 			return
 		}
 	}
 }
 
-func (tb *Table) pumpAll(now time.Time) {
+func (tb *Table) grantAllWaiting(now time.Time) {
 	for _, sq := range tb.queues {
-		tb.pump(now, sq)
+		tb.grantWaiting(now, sq)
 	}
 }
 
-// addLent adds what spare pools here would lend to the free slots of each
-// service that has none of its own.
-func (tb *Table) addLent(now time.Time, free map[weir.ServiceName]int) {
+// addLendable adds the lendable slots of spare pools to the services that have
+// no free slot of their own.
+func (tb *Table) addLendable(now time.Time, free map[weir.ServiceName]int) {
 	for _, sq := range tb.spares {
 		lent := tb.lendable(now, sq)
 		if lent <= 0 || sq.waiting() > 0 {
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -1,15 +1,15 @@
-// Package place decides which endpoint gets a request. An entry instance
-// places only on endpoints that are leased to it, so that no two entry
-// instances share the slots of one endpoint. Requests that find no slot wait
-// in bounded queues, by class, teams in turn.
+// Package placement assigns requests to endpoints. An entry instance uses only
+// endpoints that are leased to it, so that no two entry instances share the
+// slots of one endpoint. Requests that find no free slot wait in bounded
+// queues, one for each service and class, in which teams take turns.
 //
 // Usage:
 //
-//	tb := place.New(clk)
+//	tb := placement.New(clk, zone)
 //	tb.SetView(vw)
-//	answer := tb.Announce(now, announcement)
-//	slot, err := tb.Acquire(ctx, &req)
-//	slot.Release(place.Succeeded)
+//	resp := tb.Announce(announcement)
+//	slot, err := tb.Acquire(ctx, &req, nil)
+//	slot.Release(placement.Succeeded)
 package placement
 
 import (
@@ -28,10 +28,10 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors; none of them lets the request run.
+// The kinds of errors. With each of them the request did not run.
 const (
 	KindNoService         Kind = "no such service"
 	KindQueueFull         Kind = "queue is full"
@@ -44,20 +44,20 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Table holds the endpoints leased to this entry instance. It is safe for
-// concurrent use.
+// Table holds the endpoints that are leased to this entry instance and the
+// requests that wait for a slot. It is safe for concurrent use.
 type Table struct {
 	clk  weir.Clock
 	zone weir.Zone
 
-	mu       sync.Mutex
-	view     view.View
-	workers  map[weir.InstanceID]*worker
-	queues   map[weir.ServiceName]*serviceQueue
-	dirty    map[weir.InstanceID]bool
-	usage    usageBuffer
-	stopping bool
-	// spares are the queues of the services whose pools lend slots.
+	mu         sync.Mutex
+	view       view.View
+	workers    map[weir.InstanceID]*worker
+	queues     map[weir.ServiceName]*serviceQueue
+	unreported map[weir.InstanceID]bool
+	usage      usageBuffer
+	stopping   bool
+	// spares are the queues of services whose spare pools lend slots.
 	spares []*serviceQueue
 }
 
@@ -65,11 +65,11 @@
 func New(clk weir.Clock, zone weir.Zone) *Table {
 	return &Table{
 		clk: clk, zone: zone, workers: map[weir.InstanceID]*worker{}, queues: map[weir.ServiceName]*serviceQueue{},
-		dirty: map[weir.InstanceID]bool{}, usage: newUsageBuffer(),
+		unreported: map[weir.InstanceID]bool{}, usage: newUsageBuffer(),
 	}
 }
 
-// Slot is the right to run one request on one endpoint.
+// Slot is the reservation of one request slot of an endpoint.
 type Slot struct {
 	Instance weir.InstanceID
 	Lease    endpoint.Lease
@@ -83,12 +83,14 @@
 	once  sync.Once
 }
 
-// Release gives the slot back.
+// Release frees the slot and records how the request ended. Only the first
+// call has an effect.
 func (sl *Slot) Release(res Result) {
 	sl.once.Do(func() { sl.tb.release(sl, res) })
 }
 
-// SetView takes a newer view: services, limits, pools and drains.
+// SetView applies a newer view of services, limits, pools and drains. An older
+// view is ignored.
 func (tb *Table) SetView(vw view.View) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -100,7 +102,7 @@
 	tb.regroup()
 }
 
-// regroup sorts the workers by the service that the view gives them.
+// regroup assigns each worker to the queue of its service in the current view.
 func (tb *Table) regroup() {
 	for _, sq := range tb.queues {
 		sq.workers = sq.workers[:0]
@@ -109,10 +111,10 @@
 		tb.attach(wk)
 	}
 	tb.findSpares()
-	tb.pumpAll(tb.clk.Now())
+	tb.grantAllWaiting(tb.clk.Now())
 }
 
-// attach puts a worker into the group of the service that the view gives it.
+// attach adds a worker to the queue of its service in the current view.
 func (tb *Table) attach(wk *worker) {
 	wk.service, wk.serving = tb.view.Serves(wk.id)
 	if wk.serving {
@@ -121,7 +123,7 @@
 	}
 }
 
-// detach takes a worker out of its group.
+// detach removes a worker from the queue of its service.
 func (tb *Table) detach(wk *worker) {
 	if !wk.serving {
 		return
@@ -142,15 +144,15 @@
 
 func (tb *Table) slots() int { return tb.view.Config.Limits.SlotsPerInstance }
 
-// Service returns the settings of a service at this site.
+// Service returns the settings of a service at the site of this zone.
 func (tb *Table) Service(name weir.ServiceName) (model.Service, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	return tb.view.Config.ServiceAt(tb.zone, name)
 }
 
-// TryAcquire returns a free slot at once, or an error. It does not pass
-// requests that wait.
+// TryAcquire reserves a free slot without waiting. It returns KindNoSlot where
+// there is none, and also while queued requests have precedence.
 func (tb *Table) TryAcquire(req *weir.Request) (*Slot, error) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -165,7 +167,7 @@
 		return nil, &Error{Op: "place " + string(req.Service), Kind: KindNoService}
 	}
 	sq := tb.queue(req.Service)
-	if sq.lane(req.Class).count > 0 || (req.Class == weir.Deferrable && sq.urgent.count > 0) {
+	if sq.forClass(req.Class).count > 0 || (req.Class == weir.Deferrable && sq.urgent.count > 0) {
 		return nil, &Error{Op: "place", Kind: KindNoSlot}
 	}
 	wk := tb.choose(now, sq, req.Repeatable)
@@ -178,17 +180,18 @@
 	return tb.grant(now, sq, wk, req), nil
 }
 
-// Acquire waits for a slot until the request's deadline or the context ends.
-// Wake is polled while waiting: when it returns true the wait ends with
-// KindNoSlot, so that the caller can try another entry instance.
-func (tb *Table) Acquire(ctx context.Context, req *weir.Request, wake func() bool) (*Slot, error) {
+// Acquire waits for a slot until the request's deadline or the end of the
+// context. It polls freeElsewhere, which may be nil, while it waits: when that
+// returns true, the wait ends with KindNoSlot, so that the caller can try
+// another entry instance.
+func (tb *Table) Acquire(ctx context.Context, req *weir.Request, freeElsewhere func() bool) (*Slot, error) {
 	wt, slot, err := tb.enqueue(req)
 	if err != nil || slot != nil {
 		return slot, err
 	}
 	deadline := time.NewTimer(req.Deadline.Sub(tb.clk.Now()))
 	defer deadline.Stop()
-	poll := time.NewTicker(wakeEvery)
+	poll := time.NewTicker(wakePollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -198,19 +201,20 @@
 			}
 			return slot, nil
 		case <-deadline.C:
-			return tb.leave(wt, KindDeadlineExceeded)
+			return tb.cancelWait(wt, KindDeadlineExceeded)
 		case <-ctx.Done():
-			return tb.leave(wt, KindDeadlineExceeded)
+			return tb.cancelWait(wt, KindDeadlineExceeded)
 		case <-poll.C:
-			if wake != nil && wake() {
-				return tb.leave(wt, KindNoSlot)
+			if freeElsewhere != nil && freeElsewhere() {
+				return tb.cancelWait(wt, KindNoSlot)
 			}
 		}
 	}
 }
 
-// wakeEvery is how often a waiting request looks for slots elsewhere.
-const wakeEvery = 25 * time.Millisecond
+// wakePollInterval is the interval at which a waiting request checks for free
+// slots at other entry instances.
+const wakePollInterval = 25 * time.Millisecond
 
 func (tb *Table) enqueue(req *weir.Request) (*waiter, *Slot, error) {
 	tb.mu.Lock()
@@ -222,21 +226,21 @@
 	}
 	svc, _ := tb.view.Config.ServiceAt(tb.zone, req.Service)
 	sq := tb.queue(req.Service)
-	la := sq.lane(req.Class)
-	if la.count >= svc.QueueLength {
+	cq := sq.forClass(req.Class)
+	if cq.count >= svc.QueueLength {
 		return nil, nil, &Error{Op: "place", Kind: KindQueueFull}
 	}
-	if now.Add(sq.expectedEnd(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
+	if now.Add(sq.expectedResponseTime(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
 		return nil, nil, &Error{Op: "place", Kind: KindWouldMissDeadline}
 	}
 	wt := &waiter{req: req, granted: make(chan *Slot, 1)}
-	la.push(wt)
+	cq.push(wt)
 	return wt, nil, nil
 }
 
-// leave takes a waiter out of its queue. A slot that was granted at the same
-// moment is used all the same.
-func (tb *Table) leave(wt *waiter, kind Kind) (*Slot, error) {
+// cancelWait removes a waiter from its queue. A slot that was granted in the
+// meantime is returned instead of the error.
+func (tb *Table) cancelWait(wt *waiter, kind Kind) (*Slot, error) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	select {
@@ -245,20 +249,20 @@
 			return slot, nil
 		}
 	default:
-		wt.lane.remove(wt)
+		wt.queue.remove(wt)
 	}
 	return nil, &Error{Op: "place", Kind: kind}
 }
 
-// choose returns the worker with the most free slots; ties go to the first by
-// name, so that a run can be repeated.
+// choose returns the worker with the most free slots that accepts the request.
+// Ties go to the lowest instance id, which keeps the choice deterministic.
 func (tb *Table) choose(now time.Time, sq *serviceQueue, repeatable bool) *worker {
 	var best *worker
 	bestFree := 0
 	for _, wk := range sq.workers {
 		free := wk.free(now, tb.slots())
 		better := free > bestFree || (free == bestFree && best != nil && wk.id < best.id)
-		if better && wk.takes(now, repeatable) {
+		if better && wk.accepts(now, repeatable) {
 			best, bestFree = wk, free
 		}
 	}
@@ -291,19 +295,19 @@
 		sq.deferrableBusy--
 	}
 	invariant.Check(wk.busy >= 0 && sq.busy >= 0, "slotsNotNegative", "instance", wk.id)
-	sq.learn(now.Sub(sl.since))
+	sq.recordHold(now.Sub(sl.since))
 	wasUp := wk.up(now)
-	if wk.settle(res) && tb.mayEject(sq, wk) {
+	if wk.recordResult(res) && tb.mayEject(sq, wk) {
 		wk.eject(now)
 	}
 	if wk.up(now) != wasUp {
-		tb.dirty[wk.id] = true
+		tb.unreported[wk.id] = true
 	}
-	tb.pumpFor(now, wk)
+	tb.grantWaitingFor(now, wk)
 }
 
-// mayEject bounds the ejected workers to half of a service's, so that a wave
-// of failures cannot empty a pool.
+// mayEject limits the ejected workers to half of those of a service, so that a
+// common cause of failures cannot take a whole pool out of service.
 func (tb *Table) mayEject(sq *serviceQueue, wk *worker) bool {
 	if wk.ejected() {
 		return true
@@ -317,21 +321,22 @@
 	return 2*(ejected+1) <= len(sq.workers)
 }
 
-// pump hands free slots to waiters.
-func (tb *Table) pump(now time.Time, sq *serviceQueue) {
+// grantWaiting grants free slots to the waiters of a service.
+func (tb *Table) grantWaiting(now time.Time, sq *serviceQueue) {
 	for sq.waiting() > 0 {
-		wt, wk := tb.nextPair(now, sq)
+		wt, wk := tb.nextAssignment(now, sq)
 		if wt == nil {
 			return
 		}
-		wt.lane.remove(wt)
+		wt.queue.remove(wt)
 		wt.granted <- tb.grant(now, sq, wk, wt.req)
 	}
 }
 
-// nextPair picks the next waiter and its worker: urgent work first, but
-// deferrable work is not held below its share.
-func (tb *Table) nextPair(now time.Time, sq *serviceQueue) (*waiter, *worker) {
+// nextAssignment returns the next waiter and a worker for it. Urgent requests
+// go first unless deferrable ones hold less than their share of the busy
+// slots.
+func (tb *Table) nextAssignment(now time.Time, sq *serviceQueue) (*waiter, *worker) {
 	service := sq.service
 	plain := tb.choose(now, sq, false)
 	if plain == nil {
@@ -355,8 +360,8 @@
 	if sq.deferrable.count > 0 && 100*sq.deferrableBusy < svc.DeferrableShare*sq.busy {
 		first, second = second, first
 	}
-	for _, la := range []*lane{first, second} {
-		wt := la.pick(now.Add(sq.held()), fits)
+	for _, cq := range []*classQueue{first, second} {
+		wt := cq.pick(now.Add(sq.meanHold()), fits)
 		if wt == nil {
 			continue
 		}
@@ -368,23 +373,25 @@
 	return nil, nil
 }
 
-// overQuota reports whether a team holds its quota while other teams wait.
+// overQuota reports whether a waiter's team has used up its quota of slots
+// while other teams wait.
 func (tb *Table) overQuota(sq *serviceQueue, wt *waiter) bool {
 	team, ok := tb.view.Config.Teams[wt.req.Team]
 	if !ok || sq.teamBusy[wt.req.Team] < team.QuotaSlots {
 		return false
 	}
-	return wt.lane.othersWait(wt.req.Team)
+	return wt.queue.othersWait(wt.req.Team)
 }
 
-// Stop refuses new requests and tells endpoints to lease themselves elsewhere.
+// Stop makes the table refuse new requests, and refuse leases so that
+// endpoints announce themselves to another entry instance.
 func (tb *Table) Stop() {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.stopping = true
 }
 
-// Busy returns how many slots are in use.
+// Busy returns the number of slots in use.
 func (tb *Table) Busy() int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/internal/entry/placement/usage.go
+++ b/internal/entry/placement/usage.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// maxPendingUsage bounds the reports that wait to be settled; endpoints
-	// keep what is not taken and send it again.
+	// maxPendingUsage limits the reports that wait for an acknowledgement. An
+	// endpoint keeps a report that is dropped here and sends it again.
 	maxPendingUsage = 20_000
-	// maxUsageBatch bounds the reports sent to the leader at once.
+	// maxUsageBatch is about the number of reports sent to the leader at once;
+	// a batch ends with all reports of the incarnation that reaches it.
 	maxUsageBatch = 2_000
 )
 
@@ -21,21 +22,22 @@
 	number uint64
 }
 
-// usageBuffer holds usage reports on their way from endpoints to the leader.
+// usageBuffer holds usage reports of endpoints until the leader has
+// acknowledged them.
 type usageBuffer struct {
 	reports map[incarnation]map[uint64]command.UsageReport
-	settled map[incarnation]uint64
+	acked   map[incarnation]uint64
 	count   int
 }
 
 func newUsageBuffer() usageBuffer {
-	return usageBuffer{reports: map[incarnation]map[uint64]command.UsageReport{}, settled: map[incarnation]uint64{}}
+	return usageBuffer{reports: map[incarnation]map[uint64]command.UsageReport{}, acked: map[incarnation]uint64{}}
 }
 
 func (ub *usageBuffer) add(reports []command.UsageReport) {
 	for _, rep := range reports {
 		key := incarnation{rep.Instance, rep.Incarnation}
-		if rep.Sequence <= ub.settled[key] || ub.count >= maxPendingUsage {
+		if rep.Sequence <= ub.acked[key] || ub.count >= maxPendingUsage {
 			continue
 		}
 		if ub.reports[key] == nil {
@@ -48,7 +50,7 @@
 	}
 }
 
-// pending returns reports in sequence for each incarnation.
+// pending returns unacknowledged reports, in sequence for each incarnation.
 func (ub *usageBuffer) pending() []command.UsageReport {
 	list := make([]command.UsageReport, 0, min(ub.count, maxUsageBatch))
 	for _, reports := range ub.reports {
@@ -65,9 +67,9 @@
 	return list
 }
 
-func (ub *usageBuffer) settle(mk command.UsageAck) {
+func (ub *usageBuffer) acknowledge(mk command.UsageAck) {
 	key := incarnation{mk.Instance, mk.Incarnation}
-	ub.settled[key] = max(ub.settled[key], mk.Sequence)
+	ub.acked[key] = max(ub.acked[key], mk.Sequence)
 	for seq := range ub.reports[key] {
 		if seq <= mk.Sequence {
 			delete(ub.reports[key], seq)
@@ -79,15 +81,16 @@
 	}
 }
 
-func (ub *usageBuffer) settledUpTo(id weir.InstanceID, number uint64) uint64 {
-	return ub.settled[incarnation{id, number}]
+func (ub *usageBuffer) ackedUpTo(id weir.InstanceID, number uint64) uint64 {
+	return ub.acked[incarnation{id, number}]
 }
 
-// forget drops the marks of an instance that has nothing pending.
+// forget drops the acknowledged sequence numbers of an instance's incarnations
+// that have no pending reports.
 func (ub *usageBuffer) forget(id weir.InstanceID) {
-	for key := range ub.settled {
+	for key := range ub.acked {
 		if key.id == id && len(ub.reports[key]) == 0 {
-			delete(ub.settled, key)
+			delete(ub.acked, key)
 		}
 	}
 }
