--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -1,10 +1,12 @@
-// Package dispatch takes a caller's request to its one answer: to the key's
-// home, through the ledger, onto a slot here or at another entry instance.
+// Package dispatch turns a caller's request into exactly one response. A
+// request with an idempotency key is routed to the key's home zone and claimed
+// in the ledger there; each request then runs on a slot of this or of another
+// entry instance.
 //
 // Usage:
 //
 //	dp := &dispatch.Dispatcher{Self: "shy-1", Zone: "shyambazar", ...}
-//	answer := dp.Do(ctx, req)
+//	resp := dp.Do(ctx, req)
 package dispatch
 
 import (
@@ -28,7 +30,7 @@
 	weir "greengageweir"
 )
 
-// Mesh reaches the other entry instances.
+// Mesh connects to the other entry instances; see mesh.Mesh.
 type Mesh interface {
 	ledger.Caller
 	Ready(id string) bool
@@ -37,7 +39,7 @@
 	Exhausted(id string, service weir.ServiceName)
 }
 
-// Dispatcher implements weir.Dispatcher. Set the exported fields first.
+// Dispatcher implements weir.Dispatcher. Set the exported fields before use.
 type Dispatcher struct {
 	Self    string
 	Zone    weir.Zone
@@ -47,48 +49,49 @@
 	Store   *ledger.Store
 	Clock   weir.Clock
 
-	mu      sync.Mutex
-	flights map[string]*flight
-	budget  retryBudget
-	groups  sync.Map // weir.Zone to *ledger.Group
+	mu       sync.Mutex
+	attempts map[string]*keyedAttempt
+	budget   retryBudget
+	groups   sync.Map // maps weir.Zone to *ledger.Group
 }
 
-// flight is a keyed request that this instance leads at present.
-type flight struct {
-	attempt string
-	// won is set once the attempt has claimed the key.
-	won    atomic.Bool
-	done   chan struct{}
-	answer weir.Response
+// keyedAttempt is an attempt to run a keyed request that is in flight at this
+// instance.
+type keyedAttempt struct {
+	id string
+	// claimed is set once the attempt has claimed the key.
+	claimed atomic.Bool
+	done    chan struct{}
+	answer  weir.Response
 }
 
 // CallParams carries a request to another entry instance.
 type CallParams struct {
 	Request weir.Request `json:"request"`
-	// Remaining is the time until the deadline; clocks of instances differ, so
-	// that the deadline itself means nothing there.
+	// Remaining is the time until the deadline. It replaces the deadline, since
+	// the clocks of instances differ.
 	Remaining time.Duration `json:"remainingNanos"`
 }
 
-// LocalRequest returns the request with its deadline by the receiver's clock.
+// LocalRequest returns the request with its deadline on the receiver's clock.
 func (cp CallParams) LocalRequest(now time.Time) weir.Request {
 	req := cp.Request
 	req.Deadline = now.Add(cp.Remaining)
 	return req
 }
 
-// callAt calls a method with a request at another entry instance, and waits
-// for the answer until the deadline and some time more.
-func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, more time.Duration) (weir.Response, error) {
+// callAt calls a method with a request at another entry instance. It waits for
+// the response until the deadline and an extra time.
+func (dp *Dispatcher) callAt(ctx context.Context, id, method string, req weir.Request, extra time.Duration) (weir.Response, error) {
 	remaining := req.Deadline.Sub(dp.Clock.Now())
-	ctx, cancel := context.WithTimeout(ctx, remaining+more)
+	ctx, cancel := context.WithTimeout(ctx, remaining+extra)
 	defer cancel()
 	var ans weir.Response
 	err := dp.Mesh.Call(ctx, id, method, CallParams{Request: req, Remaining: remaining}, &ans)
 	return ans, err
 }
 
-// Do returns the answer to a caller's request.
+// Do runs a caller's request and returns its response.
 func (dp *Dispatcher) Do(ctx context.Context, req weir.Request) weir.Response {
 	begin := dp.Clock.Now()
 	ans := dp.route(ctx, req)
@@ -99,7 +102,7 @@
 
 func (dp *Dispatcher) route(ctx context.Context, req weir.Request) weir.Response {
 	if req.Key == "" {
-		return dp.place(ctx, req)
+		return dp.runWithRetries(ctx, req)
 	}
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
@@ -109,11 +112,11 @@
 		return weir.UnknownResponse("the key's time is past retention or in the future")
 	}
 	home := key.HomeZone(dp.zones())
-	for _, id := range dp.leaders(home, req.Key) {
+	for _, id := range dp.candidates(home, req.Key) {
 		if id == dp.Self {
 			return dp.RunKeyed(ctx, req)
 		}
-		ans, reached := dp.callHome(ctx, id, req)
+		ans, reached := dp.runKeyedAt(ctx, id, req)
 		if reached {
 			return ans
 		}
@@ -121,13 +124,13 @@
 	return weir.UnknownResponse("no entry instance of the key's home " + string(home) + " is reached")
 }
 
-// callHome runs the request at another entry instance. It reports false where
-// the request certainly did not get there.
-func (dp *Dispatcher) callHome(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
+// runKeyedAt runs a keyed request at another entry instance. It reports false
+// if the request was certainly not sent there.
+func (dp *Dispatcher) runKeyedAt(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
 	if !dp.Mesh.Ready(id) {
 		return weir.Response{}, false
 	}
-	ans, err := dp.callAt(ctx, id, peerapi.EntryCall, req, 2*flightGrace)
+	ans, err := dp.callAt(ctx, id, peerapi.EntryCall, req, 2*deadlineGrace)
 	if errkind.Is(err, peer.KindNotSent) {
 		return weir.Response{}, false
 	}
@@ -140,140 +143,143 @@
 func (dp *Dispatcher) zones() []weir.Zone {
 	seen := map[weir.Zone]bool{}
 	var zones []weir.Zone
-	for _, si := range dp.Entries {
-		if !seen[si.Zone] {
-			seen[si.Zone] = true
-			zones = append(zones, si.Zone)
+	for _, ei := range dp.Entries {
+		if !seen[ei.Zone] {
+			seen[ei.Zone] = true
+			zones = append(zones, ei.Zone)
 		}
 	}
 	return zones
 }
 
-// leaders returns the entry instances of a zone that may lead a key, first
-// choice first.
-func (dp *Dispatcher) leaders(zone weir.Zone, key string) []string {
+// candidates returns the entry instances of a zone that may run the requests
+// of a key, by falling rendezvous hash.
+func (dp *Dispatcher) candidates(zone weir.Zone, key string) []string {
 	var ids []string
-	for _, si := range dp.Entries {
-		if si.Zone == zone {
-			ids = append(ids, si.Entry)
+	for _, ei := range dp.Entries {
+		if ei.Zone == zone {
+			ids = append(ids, ei.Entry)
 		}
 	}
 	sort.Slice(ids, func(a, b int) bool { return ledger.Rank(key, ids[a]) > ledger.Rank(key, ids[b]) })
 	return ids
 }
 
-// RunKeyed claims the key and runs the request, or returns what is recorded. A
-// second request with the same key waits for the first.
+// RunKeyed claims the key and runs the request, or returns the recorded
+// response. While an attempt with the same key is in flight here, it waits for
+// that one instead.
 func (dp *Dispatcher) RunKeyed(ctx context.Context, req weir.Request) weir.Response {
 	attempt := dp.Self + "/" + uuid.NewString()
-	fl, first := dp.startFlight(req.Key, attempt)
+	ka, first := dp.startAttempt(req.Key, attempt)
 	if first {
-		// The flight outlives its caller, so that the outcome is recorded also
-		// for a caller that went away or whose deadline has passed.
+		// The attempt continues without its caller, so that the outcome is
+		// recorded also after a disconnect or the deadline.
 		detached := context.WithoutCancel(ctx)
 		go func() {
-			fl.answer = dp.runClaimed(detached, req, fl)
-			dp.endFlight(req.Key, fl)
+			ka.answer = dp.claimAndRun(detached, req, ka)
+			dp.endAttempt(req.Key, ka)
 		}()
 	}
-	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+flightGrace)
+	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+deadlineGrace)
 	defer cancel()
-	return fl.wait(ctx)
+	return ka.wait(ctx)
 }
 
 const (
-	// flightGrace lets a request that found no slot by its deadline be
-	// answered "not run" rather than "unknown".
-	flightGrace = 50 * time.Millisecond
-	// recordGrace is how long past the deadline an endpoint's answer to a
-	// keyed request is awaited, to be recorded.
+	// deadlineGrace is the time after its deadline in which a request that
+	// found no slot can still be answered with "not run" instead of "unknown".
+	deadlineGrace = 50 * time.Millisecond
+	// recordGrace is the time after the deadline for which the response of an
+	// endpoint to a keyed request is awaited, so that it can be recorded.
 	recordGrace = 5 * time.Second
 )
 
-// patience returns how long past its deadline a request's answer is awaited.
-func patience(req weir.Request) time.Duration {
+// postDeadlineWait returns the time after a request's deadline for which its
+// response is awaited.
+func postDeadlineWait(req weir.Request) time.Duration {
 	if req.Key == "" {
 		return 0
 	}
 	return recordGrace
 }
 
-func (dp *Dispatcher) startFlight(key, attempt string) (*flight, bool) {
+func (dp *Dispatcher) startAttempt(key, id string) (*keyedAttempt, bool) {
 	dp.mu.Lock()
 	defer dp.mu.Unlock()
-	if fl, ok := dp.flights[key]; ok {
-		return fl, false
+	if ka, ok := dp.attempts[key]; ok {
+		return ka, false
 	}
-	if dp.flights == nil {
-		dp.flights = map[string]*flight{}
+	if dp.attempts == nil {
+		dp.attempts = map[string]*keyedAttempt{}
 	}
-	fl := &flight{attempt: attempt, done: make(chan struct{})}
-	dp.flights[key] = fl
-	return fl, true
+	ka := &keyedAttempt{id: id, done: make(chan struct{})}
+	dp.attempts[key] = ka
+	return ka, true
 }
 
-func (dp *Dispatcher) endFlight(key string, fl *flight) {
+func (dp *Dispatcher) endAttempt(key string, ka *keyedAttempt) {
 	dp.mu.Lock()
-	delete(dp.flights, key)
+	delete(dp.attempts, key)
 	dp.mu.Unlock()
-	close(fl.done)
+	close(ka.done)
 }
 
-func (fl *flight) wait(ctx context.Context) weir.Response {
+func (ka *keyedAttempt) wait(ctx context.Context) weir.Response {
 	select {
-	case <-fl.done:
-		return fl.answer
+	case <-ka.done:
+		return ka.answer
 	case <-ctx.Done():
 		return weir.UnknownResponse("a request with this key is still in flight")
 	}
 }
 
-// AwaitAttempt returns the outcome of an attempt that is in flight here. Only one that
-// has claimed the key can be waited for: two leaders that both lost the claim
-// would else wait for each other.
+// AwaitAttempt returns the outcome of an attempt that is in flight here. It
+// waits only for an attempt that has claimed the key: otherwise two instances
+// that both lost the claim would wait for each other.
 func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Response {
 	dp.mu.Lock()
-	fl, ok := dp.flights[jo.Key]
+	ka, ok := dp.attempts[jo.Key]
 	dp.mu.Unlock()
-	if !ok || fl.attempt != jo.Attempt || !fl.won.Load() {
+	if !ok || ka.id != jo.Attempt || !ka.claimed.Load() {
 		return weir.UnknownResponse("the attempt is not in flight")
 	}
-	return fl.wait(ctx)
+	return ka.wait(ctx)
 }
 
-func (dp *Dispatcher) runClaimed(ctx context.Context, req weir.Request, fl *flight) weir.Response {
+func (dp *Dispatcher) claimAndRun(ctx context.Context, req weir.Request, ka *keyedAttempt) weir.Response {
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
 		return weir.NotRunResponse(err.Error())
 	}
-	claim := dp.group(key.HomeZone(dp.zones())).Claim(ctx, req.Key, fl.attempt)
+	claim := dp.group(key.HomeZone(dp.zones())).Claim(ctx, req.Key, ka.id)
 	if claim.Won {
-		fl.won.Store(true)
-		ans := dp.place(ctx, req)
+		ka.claimed.Store(true)
+		ans := dp.runWithRetries(ctx, req)
 		claim.Finish(ctx, ans)
 		return ans
 	}
 	holder, _, _ := strings.Cut(claim.Holder, "/")
 	if claim.Answer.Kind == weir.Unknown && holder != "" && holder != dp.Self {
-		ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+patience(req))
+		ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 		defer cancel()
-		return dp.askHolder(ctx, holder, peerapi.Join{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
+		return dp.awaitAttemptAt(ctx, holder, peerapi.Join{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
 	}
 	return *claim.Answer
 }
 
-// askHolder waits for the outcome at the instance that leads the attempt.
-func (dp *Dispatcher) askHolder(ctx context.Context, holder string, jo peerapi.Join, otherwise weir.Response) weir.Response {
+// awaitAttemptAt waits for the outcome of an attempt at the instance that holds
+// its key.
+func (dp *Dispatcher) awaitAttemptAt(ctx context.Context, holder string, jo peerapi.Join, fallback weir.Response) weir.Response {
 	var ans weir.Response
 	if dp.Mesh.Call(ctx, holder, peerapi.LedgerJoin, jo, &ans) != nil {
-		return otherwise
+		return fallback
 	}
 	return ans
 }
 
 func (dp *Dispatcher) group(zone weir.Zone) *ledger.Group {
 	if gr, ok := dp.groups.Load(zone); ok {
-		return gr.(*ledger.Group) // only groups are stored
+		return gr.(*ledger.Group) // the map holds no other type
 	}
 	gr := &ledger.Group{
 		Self: dp.Self, Store: dp.Store, Replicas: ledger.Replicas(dp.Entries, zone), Caller: dp.Mesh, Clock: dp.Clock,
@@ -282,12 +288,12 @@
 	return gr
 }
 
-// maxTries bounds the slots that one request is tried on.
+// maxTries limits the number of slots on which one request is tried.
 const maxTries = 4
 
-// place runs a request on a slot. Only a request that certainly did not run,
-// or one that may be repeated, is tried on a second slot.
-func (dp *Dispatcher) place(ctx context.Context, req weir.Request) weir.Response {
+// runWithRetries runs a request on a slot. It retries on another slot only if
+// the request certainly did not run or is repeatable.
+func (dp *Dispatcher) runWithRetries(ctx context.Context, req weir.Request) weir.Response {
 	dp.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
 	ans := weir.NotRunResponse("not tried")
 	ran := false
@@ -300,14 +306,14 @@
 			ran = true
 		}
 		if next.Kind == weir.NotRun && ran {
-			// An earlier try may have run.
+			// An earlier try may have run the request.
 			next = weir.UnknownResponse(next.Reason)
 		}
 		ans = next
 		if ans.Kind == weir.Complete || (!again && !dp.mayRetry(req, ans)) {
 			break
 		}
-		pause(ctx, retryPause)
+		sleepWithJitter(ctx, retryPause)
 	}
 	if ans.Kind == weir.NotRun && ctx.Err() != nil && ans.Reason == "not tried" {
 		ans.Reason = "cancelled before it was dispatched"
@@ -315,9 +321,10 @@
 	return ans
 }
 
-// pause waits with jitter, so that retries do not come in step.
-func pause(ctx context.Context, mean time.Duration) {
-	wait := mean/2 + time.Duration(rand.Int63n(int64(mean))) //nolint:gosec // jitter is no secret
+// sleepWithJitter sleeps for a random time around the mean, so that retries of
+// several requests do not coincide.
+func sleepWithJitter(ctx context.Context, mean time.Duration) {
+	wait := mean/2 + time.Duration(rand.Int63n(int64(mean))) //nolint:gosec // jitter needs no secure randomness
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
@@ -337,8 +344,9 @@
 	return dp.withBudget(func(rb *retryBudget) bool { return rb.spend() })
 }
 
-// tryOnce takes one slot, here, at a peer that advertises one, or here after
-// waiting, and runs the request on it.
+// tryOnce runs the request on one slot: a free one here, else one that a peer
+// advertises, else one here after waiting. The second result reports whether
+// the request certainly did not run and another slot may be tried.
 func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Response, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
@@ -346,20 +354,21 @@
 			return weir.NotRunResponse(err.Error()), false
 		}
 		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
-			if ans, busy := dp.runAt(ctx, id, req); !busy {
+			if ans, busy := dp.runAtPeer(ctx, id, req); !busy {
 				return ans, ans.Kind == weir.NotRun
 			}
 			continue
 		}
 		slot, err = dp.Table.Acquire(ctx, &req, func() bool { return dp.Mesh.Has(req.Service) })
 	}
-	return dp.send(ctx, slot, req)
+	return dp.sendToEndpoint(ctx, slot, req)
 }
 
-// runAt runs the request on a slot of another entry instance. It reports true
-// where that had none, so that nothing ran.
-func (dp *Dispatcher) runAt(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
-	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, patience(req))
+// runAtPeer runs the request on a slot of another entry instance. It reports
+// true if that instance was not reached or had no free slot, so that the
+// request did not run.
+func (dp *Dispatcher) runAtPeer(ctx context.Context, id string, req weir.Request) (weir.Response, bool) {
+	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, postDeadlineWait(req))
 	switch {
 	case errkind.Is(err, peer.KindNotSent):
 		dp.Mesh.Exhausted(id, req.Service)
@@ -373,16 +382,18 @@
 	return ans, false
 }
 
-// ReasonNoSlot is the reason of an entry instance that has no free slot.
+// ReasonNoSlot is the reason in the response of an entry instance that has no
+// free slot for a peer's request.
 const ReasonNoSlot = "no free slot at this entry instance"
 
-// RunOnFreeSlot runs a peer's request on a free slot of this instance, if there is one.
+// RunOnFreeSlot runs a peer's request on a free slot of this instance. Without
+// one it returns "not run" with ReasonNoSlot.
 func (dp *Dispatcher) RunOnFreeSlot(ctx context.Context, req weir.Request) weir.Response {
 	slot, err := dp.Table.TryAcquire(&req)
 	if err != nil {
 		return weir.NotRunResponse(ReasonNoSlot)
 	}
-	ans, _ := dp.send(ctx, slot, req)
+	ans, _ := dp.sendToEndpoint(ctx, slot, req)
 	return ans
 }
 
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -26,7 +26,7 @@
 	"greengageweir/internal/link/peer"
 )
 
-// fakeMesh is the mesh of an entry instance whose peers keep ledgers only.
+// fakeMesh connects an entry instance to peers that have a ledger but no slots.
 type fakeMesh struct {
 	stores map[string]*ledger.Store
 	down   atomic.Bool
@@ -54,13 +54,14 @@
 func (fm *fakeMesh) Has(weir.ServiceName) bool                { return false }
 func (fm *fakeMesh) Exhausted(string, weir.ServiceName)       {}
 
-// rig is a dispatcher with endpoints at the given addresses.
-type rig struct {
+// fixture is a dispatcher with its fake mesh.
+type fixture struct {
 	*Dispatcher
 	mesh *fakeMesh
 }
 
-func newRig(t *testing.T, addrs ...string) *rig {
+// newFixture returns a dispatcher with one endpoint at each address.
+func newFixture(t *testing.T, addrs ...string) *fixture {
 	clk := clock.System{}
 	vw := view.View{Index: 1, Members: map[weir.InstanceID]view.Member{}}
 	vw.Config = model.Config{
@@ -82,40 +83,41 @@
 	for _, id := range []string{"a1", "a2", "a3"} {
 		fm.stores[id] = ledger.NewStore(old, 10*time.Minute, 100)
 	}
-	return &rig{mesh: fm, Dispatcher: &Dispatcher{
+	return &fixture{mesh: fm, Dispatcher: &Dispatcher{
 		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
 		Table: tb, Mesh: fm, Store: fm.stores["a1"], Clock: clk,
 	}}
 }
 
-func (rg *rig) request(t *testing.T, repeatable, keyed bool) weir.Request {
+func (fx *fixture) request(t *testing.T, repeatable, keyed bool) weir.Request {
 	req := weir.Request{
 		Service: "desk", Method: http.MethodPost, Path: "/work", Body: []byte("x"), Class: weir.Urgent,
-		Repeatable: repeatable, Deadline: rg.Clock.Now().Add(20 * time.Second),
+		Repeatable: repeatable, Deadline: fx.Clock.Now().Add(20 * time.Second),
 	}
 	if keyed {
 		var err error
-		req.Key, err = ledger.NewKey("a", rg.Clock.Now())
+		req.Key, err = ledger.NewKey("a", fx.Clock.Now())
 		require.NoError(t, err)
 	}
 	return req
 }
 
-// lead runs a request as its key's leader, whoever that is by rank.
-func (rg *rig) lead(req weir.Request) weir.Response {
+// runKeyed runs a request on this instance, also if its key ranks another
+// instance first.
+func (fx *fixture) runKeyed(req weir.Request) weir.Response {
 	if req.Key == "" {
-		return rg.Do(context.Background(), req)
+		return fx.Do(context.Background(), req)
 	}
-	return rg.RunKeyed(context.Background(), req)
+	return fx.RunKeyed(context.Background(), req)
 }
 
-func handler(t *testing.T, fn http.HandlerFunc) string {
+func startEndpoint(t *testing.T, fn http.HandlerFunc) string {
 	sv := httptest.NewServer(fn)
 	t.Cleanup(sv.Close)
 	return sv.Listener.Addr().String()
 }
 
-func hangUp(rw http.ResponseWriter, req *http.Request) {
+func closeConnection(rw http.ResponseWriter, req *http.Request) {
 	_, _ = io.Copy(io.Discard, req.Body)
 	conn, _, err := rw.(http.Hijacker).Hijack()
 	if err == nil {
@@ -128,7 +130,7 @@
 	http.Error(rw, "busy", http.StatusServiceUnavailable)
 }
 
-func fine(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "booked") }
+func succeed(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "booked") }
 
 // slowDeadline is the deadline of requests to the slow endpoint.
 const slowDeadline = time.Second
@@ -138,8 +140,8 @@
 	_, _ = io.WriteString(rw, "booked late")
 }
 
-// TestOutcomes is the table of what a caller is told when the endpoint does
-// this or that.
+// TestOutcomes checks which outcome a caller gets for each behaviour of the
+// endpoint.
 func TestOutcomes(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -147,19 +149,19 @@
 	require.NoError(t, lis.Close())
 	cases := []struct {
 		name       string
-		endpoint   http.HandlerFunc // nil where nobody listens
+		endpoint   http.HandlerFunc // nil for a closed port
 		repeatable bool
 		keyed      bool
 		want       weir.OutcomeKind
 	}{
-		{"answers", fine, false, true, weir.Complete},
-		{"answers without a key", fine, false, false, weir.Complete},
+		{"answers", succeed, false, true, weir.Complete},
+		{"answers without a key", succeed, false, false, weir.Complete},
 		{"server error is the endpoint's own answer", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) }, false, true, weir.Complete},
 		{"nobody listens", nil, false, true, weir.NotRun},
 		{"nobody listens, repeatable", nil, true, false, weir.NotRun},
 		{"refuses", refuseAll, false, true, weir.NotRun},
-		{"hangs up", hangUp, false, true, weir.Unknown},
-		{"hangs up, repeatable", hangUp, true, false, weir.Unknown},
+		{"closes the connection", closeConnection, false, true, weir.Unknown},
+		{"closes the connection, repeatable", closeConnection, true, false, weir.Unknown},
 		{"too slow", slow, false, true, weir.Unknown},
 		{"too slow, repeatable", slow, true, false, weir.Unknown},
 	}
@@ -167,140 +169,142 @@
 		t.Run(tc.name, func(t *testing.T) {
 			addr := nobody
 			if tc.endpoint != nil {
-				addr = handler(t, tc.endpoint)
+				addr = startEndpoint(t, tc.endpoint)
 			}
-			rg := newRig(t, addr)
-			req := rg.request(t, tc.repeatable, tc.keyed)
+			fx := newFixture(t, addr)
+			req := fx.request(t, tc.repeatable, tc.keyed)
 			if strings.HasPrefix(tc.name, "too slow") {
-				req.Deadline = rg.Clock.Now().Add(slowDeadline)
+				req.Deadline = fx.Clock.Now().Add(slowDeadline)
 			}
-			require.Equal(t, tc.want, rg.lead(req).Kind)
+			require.Equal(t, tc.want, fx.runKeyed(req).Kind)
 		})
 	}
 }
 
-func TestOnlyRepeatableIsTriedAgainAfterABreak(t *testing.T) {
+func TestOnlyRepeatableRequestIsRetriedAfterConnectionLoss(t *testing.T) {
 	var runs atomic.Int32
 	counted := func(rw http.ResponseWriter, req *http.Request) {
 		if runs.Add(1) == 1 {
-			hangUp(rw, req)
+			closeConnection(rw, req)
 			return
 		}
-		fine(rw, req)
+		succeed(rw, req)
 	}
-	rg := newRig(t, handler(t, counted))
-	for range 50 { // earn retries
-		rg.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
+	fx := newFixture(t, startEndpoint(t, counted))
+	for range 50 { // fill the retry budget
+		fx.withBudget(func(rb *retryBudget) bool { rb.earn(); return true })
 	}
-	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
+	require.Equal(t, weir.Unknown, fx.runKeyed(fx.request(t, false, true)).Kind)
 	require.Equal(t, int32(1), runs.Load())
 	runs.Store(0)
-	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind)
+	require.Equal(t, weir.Complete, fx.runKeyed(fx.request(t, true, false)).Kind)
 	require.Equal(t, int32(2), runs.Load())
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	var runs atomic.Int32
-	rg := newRig(t, handler(t, func(rw http.ResponseWriter, req *http.Request) { runs.Add(1); hangUp(rw, req) }))
+	fx := newFixture(t, startEndpoint(t, func(rw http.ResponseWriter, req *http.Request) { runs.Add(1); closeConnection(rw, req) }))
 	const requests = 100
 	for range requests {
-		rg.lead(rg.request(t, true, false))
+		fx.runKeyed(fx.request(t, true, false))
 	}
 	require.LessOrEqual(t, int(runs.Load()), requests+requests/10+1)
 }
 
-func TestNotRunIsTriedElsewhere(t *testing.T) {
-	rg := newRig(t, handler(t, refuseAll), handler(t, refuseAll), handler(t, fine))
+func TestNotRunIsRetriedOnAnotherEndpoint(t *testing.T) {
+	fx := newFixture(t, startEndpoint(t, refuseAll), startEndpoint(t, refuseAll), startEndpoint(t, succeed))
 	for range 3 {
-		ans := rg.lead(rg.request(t, false, true))
+		ans := fx.runKeyed(fx.request(t, false, true))
 		require.Contains(t, []weir.OutcomeKind{weir.Complete, weir.NotRun}, ans.Kind)
 	}
 }
 
 func TestSameKeyRunsOnce(t *testing.T) {
 	var runs atomic.Int32
-	rg := newRig(t, handler(t, func(rw http.ResponseWriter, req *http.Request) {
+	fx := newFixture(t, startEndpoint(t, func(rw http.ResponseWriter, req *http.Request) {
 		runs.Add(1)
 		time.Sleep(50 * time.Millisecond)
-		fine(rw, req)
+		succeed(rw, req)
 	}))
-	req := rg.request(t, false, true)
+	req := fx.request(t, false, true)
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ans := rg.lead(req)
+			ans := fx.runKeyed(req)
 			require.Equal(t, weir.Complete, ans.Kind)
 			require.Equal(t, "booked", string(ans.Body))
 		}()
 	}
 	wg.Wait()
-	again := rg.lead(req)
+	again := fx.runKeyed(req)
 	require.Equal(t, "booked", string(again.Body), "the recorded answer")
 	require.Equal(t, int32(1), runs.Load())
 }
 
-// TestLateAnswerIsRecorded lets the endpoint answer after the deadline: the
-// caller is told "unknown" and gets the outcome by asking again.
+// TestLateAnswerIsRecorded guards against losing a response that arrives after
+// the deadline: the caller gets "unknown" first, and the recorded response when
+// it repeats the request with the same key.
 func TestLateAnswerIsRecorded(t *testing.T) {
-	rg := newRig(t, handler(t, slow))
-	req := rg.request(t, false, true)
-	req.Deadline = rg.Clock.Now().Add(slowDeadline)
-	require.Equal(t, weir.Unknown, rg.lead(req).Kind)
+	fx := newFixture(t, startEndpoint(t, slow))
+	req := fx.request(t, false, true)
+	req.Deadline = fx.Clock.Now().Add(slowDeadline)
+	require.Equal(t, weir.Unknown, fx.runKeyed(req).Kind)
 	require.Eventually(t, func() bool {
-		req.Deadline = rg.Clock.Now().Add(slowDeadline)
-		ans := rg.lead(req)
+		req.Deadline = fx.Clock.Now().Add(slowDeadline)
+		ans := fx.runKeyed(req)
 		return ans.Kind == weir.Complete && string(ans.Body) == "booked late"
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
-func TestWithoutLedgerMajorityNothingRuns(t *testing.T) {
+func TestKeyedRequestNeedsLedgerMajority(t *testing.T) {
 	var runs atomic.Int32
-	rg := newRig(t, handler(t, func(rw http.ResponseWriter, req *http.Request) { runs.Add(1); fine(rw, req) }))
-	rg.mesh.down.Store(true)
-	require.Equal(t, weir.Unknown, rg.lead(rg.request(t, false, true)).Kind)
+	fx := newFixture(t, startEndpoint(t, func(rw http.ResponseWriter, req *http.Request) { runs.Add(1); succeed(rw, req) }))
+	fx.mesh.down.Store(true)
+	require.Equal(t, weir.Unknown, fx.runKeyed(fx.request(t, false, true)).Kind)
 	require.Zero(t, runs.Load())
-	require.Equal(t, weir.Complete, rg.lead(rg.request(t, true, false)).Kind, "reads go on")
+	require.Equal(t, weir.Complete, fx.runKeyed(fx.request(t, true, false)).Kind, "requests without a key need no ledger")
 }
 
-// TestTwoLeadersDoNotWaitForEachOther covers two entry instances that both
-// lost the claim of a key and each take the other for its holder.
-func TestTwoLeadersDoNotWaitForEachOther(t *testing.T) {
-	rg := newRig(t)
-	req := rg.request(t, false, true)
+// TestLosingAttemptsDoNotWaitForEachOther guards against a deadlock of two entry
+// instances that both lost the claim of a key and each take the other for its
+// holder.
+func TestLosingAttemptsDoNotWaitForEachOther(t *testing.T) {
+	fx := newFixture(t)
+	req := fx.request(t, false, true)
 	for _, id := range []string{"a1", "a2"} {
-		rg.mesh.stores[id].Reserve(rg.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
+		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
 	}
-	rg.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
-		rg.mu.Lock()
-		ours := rg.flights[req.Key].attempt
-		rg.mu.Unlock()
-		return rg.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
+	fx.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
+		fx.mu.Lock()
+		ours := fx.attempts[req.Key].id
+		fx.mu.Unlock()
+		return fx.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
 	}
 	answered := make(chan weir.Response, 1)
-	go func() { answered <- rg.lead(req) }()
+	go func() { answered <- fx.runKeyed(req) }()
 	select {
 	case ans := <-answered:
 		require.Equal(t, weir.Unknown, ans.Kind)
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "both wait for each other")
+		require.Fail(t, "the two attempts wait for each other")
 	}
 }
 
-func TestDeadlineTravelsAsRemainingTime(t *testing.T) {
-	there := time.Unix(1_700_000_000, 0) // a clock that is far off
-	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.LocalRequest(there)
-	require.Equal(t, there.Add(time.Second), req.Deadline)
+func TestDeadlineIsSentAsRemainingTime(t *testing.T) {
+	receiverTime := time.Unix(1_700_000_000, 0) // the receiver's clock is years behind
+	req := CallParams{Request: weir.Request{Deadline: time.Unix(1_800_000_000, 0)}, Remaining: time.Second}.LocalRequest(receiverTime)
+	require.Equal(t, receiverTime.Add(time.Second), req.Deadline)
 }
 
 func TestBadKeys(t *testing.T) {
-	rg := newRig(t)
-	req := rg.request(t, false, true)
+	fx := newFixture(t)
+	req := fx.request(t, false, true)
 	req.Key = "booking-1"
-	require.Equal(t, weir.NotRun, rg.Do(context.Background(), req).Kind)
-	old, err := ledger.NewKey("a", rg.Clock.Now().Add(-time.Hour))
+	require.Equal(t, weir.NotRun, fx.Do(context.Background(), req).Kind)
+	old, err := ledger.NewKey("a", fx.Clock.Now().Add(-time.Hour))
 	require.NoError(t, err)
 	req.Key = old
-	require.Equal(t, weir.Unknown, rg.Do(context.Background(), req).Kind, "past retention it may have run")
+	require.Equal(t, weir.Unknown, fx.Do(context.Background(), req).Kind, "past retention it may have run")
 }
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -15,16 +15,17 @@
 	weir "greengageweir"
 )
 
-// send runs a request on a slot and gives the slot back. The second result
-// says whether another slot may be tried: the request certainly did not run.
-func (dp *Dispatcher) send(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Response, bool) {
-	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+patience(req))
+// sendToEndpoint runs a request on a slot and releases the slot. The second
+// result reports whether the request certainly did not run and another slot may
+// be tried.
+func (dp *Dispatcher) sendToEndpoint(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Response, bool) {
+	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 	defer cancel()
 	begin := dp.Clock.Now()
 	resp, err := slot.Conns.Do(ctx, dp.endpointRequest(slot, req))
 	observe("weir_endpoint_seconds", dp.Clock.Now().Sub(begin))
 	if err != nil {
-		return brokenAnswer(slot, err)
+		return responseForError(slot, err)
 	}
 	if reason := resp.Header(endpoint.HeaderRefused); reason != "" {
 		slot.Release(placement.Abandoned)
@@ -56,9 +57,10 @@
 	return out
 }
 
-// brokenAnswer tells what an error on the way means. A deadline counts
-// against the endpoint, since a silent one shows itself in no other way.
-func brokenAnswer(slot *placement.Slot, err error) (weir.Response, bool) {
+// responseForError releases the slot and returns the response for a failed
+// exchange. An exceeded deadline counts as a failure of the endpoint, since it
+// is the only sign of one that does not respond.
+func responseForError(slot *placement.Slot, err error) (weir.Response, bool) {
 	slot.Release(placement.Failed)
 	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.NotRunResponse("endpoint not reached"), true
@@ -73,8 +75,8 @@
 	return placement.Succeeded
 }
 
-// retryBudget allows retries as a share of the requests, so that retries
-// cannot multiply an overload.
+// retryBudget limits retries to a share of the requests, so that retries cannot
+// amplify an overload.
 type retryBudget struct {
 	tokens float64
 }
