--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// groupSize is the number of replicas of a zone's ledger.
 	groupSize      = 3
 	reserveTimeout = 400 * time.Millisecond
 	finishTimeout  = 200 * time.Millisecond
@@ -33,32 +34,34 @@
 }
 
 // Replicas returns the entry instances that keep the ledger of a zone: up to
-// three, first those of the zone, then those of the zones that follow in
-// order. It depends on the settings only, never on who is alive.
+// three, first those of the zone itself, then those of the zones that follow
+// by name. The result depends only on the settings, not on which instances are
+// reachable.
 func Replicas(sites []EntryInstance, zone weir.Zone) []string {
 	sorted := append([]EntryInstance{}, sites...)
 	sort.Slice(sorted, func(a, b int) bool {
 		if sorted[a].Zone != sorted[b].Zone {
-			return after(sorted[a].Zone, zone, sorted[b].Zone)
+			return precedes(sorted[a].Zone, zone, sorted[b].Zone)
 		}
 		return sorted[a].Entry < sorted[b].Entry
 	})
 	ids := make([]string, 0, groupSize)
-	for _, si := range sorted[:min(len(sorted), groupSize)] {
-		ids = append(ids, si.Entry)
+	for _, ei := range sorted[:min(len(sorted), groupSize)] {
+		ids = append(ids, ei.Entry)
 	}
 	return ids
 }
 
-// after orders zones as a ring that starts at first.
-func after(a, first, b weir.Zone) bool {
+// precedes reports whether zone a comes before zone b in the ring of zones, by
+// name, that starts at first.
+func precedes(a, first, b weir.Zone) bool {
 	if (a >= first) != (b >= first) {
 		return a >= first
 	}
 	return a < b
 }
 
-// Group claims keys at the replicas of a zone.
+// Group claims keys at the replicas of a zone's ledger.
 type Group struct {
 	Self     string
 	Store    *Store
@@ -67,13 +70,14 @@
 	Clock    weir.Clock
 }
 
-// Claim is the result of asking for a key.
+// Claim is the result of an attempt to claim a key.
 type Claim struct {
-	// Won says that this attempt, and no other, may be dispatched.
+	// Won reports whether this attempt, and no other, may be dispatched.
 	Won bool
-	// Answer is set where the request is answered already.
+	// Answer is the response to return if the claim is not won: the recorded
+	// one, or "unknown".
 	Answer *weir.Response
-	// Holder is the attempt that has the key, where there is one.
+	// Holder is the attempt that holds the key, if a replica named one.
 	Holder string
 
 	gr      *Group
@@ -81,18 +85,19 @@
 	attempt string
 }
 
+// vote is the response of one replica to a reservation.
 type vote struct {
 	replica string
 	answer  peerapi.ReserveResponse
 }
 
-// Claim asks the replicas for the key. Without a majority nothing is known, so
-// that the answer is unknown, not "not run": an earlier attempt may have run.
+// Claim requests the key from the replicas. Without a majority the answer is
+// "unknown" and not "not run", because an earlier attempt may have run.
 func (gr *Group) Claim(ctx context.Context, key, attempt string) *Claim {
 	cl := &Claim{gr: gr, key: key, attempt: attempt}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	votes := gr.ask(ctx, peerapi.Reserve{Key: key, Attempt: attempt})
+	votes := gr.requestVotes(ctx, peerapi.Reserve{Key: key, Attempt: attempt})
 	majority := len(gr.Replicas)/2 + 1
 	granted, reason := 0, "too few ledger replicas answered"
 	for range gr.Replicas {
@@ -116,13 +121,14 @@
 	}
 	ans := weir.UnknownResponse(reason)
 	cl.Answer = &ans
-	// This attempt will not be dispatched, so what it was granted is freed.
-	go cl.record(weir.NotRunResponse("not claimed"))
+	// This attempt is not dispatched, so the replicas that granted it the key
+	// may free it.
+	go cl.finishAll(weir.NotRunResponse("not claimed"))
 	return cl
 }
 
-// ask sends the reservation to all replicas at once.
-func (gr *Group) ask(ctx context.Context, res peerapi.Reserve) <-chan vote {
+// requestVotes sends the reservation to all replicas at once.
+func (gr *Group) requestVotes(ctx context.Context, res peerapi.Reserve) <-chan vote {
 	votes := make(chan vote, len(gr.Replicas))
 	for _, id := range gr.Replicas {
 		if id == gr.Self {
@@ -140,15 +146,16 @@
 	return votes
 }
 
-// Finish records the outcome. It returns when two replicas have it or the
-// time is up; the rest goes on in the background.
+// Finish records the outcome at all replicas. It returns when two of them have
+// it, after finishTimeout or at the end of the context; the other calls
+// continue in the background.
 func (cl *Claim) Finish(ctx context.Context, ans weir.Response) {
 	invariant.Check(cl.Won, "onlyWinnersFinish", "key", cl.key)
 	done := make(chan struct{}, len(cl.gr.Replicas))
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
 	for _, id := range cl.gr.Replicas {
 		go func() {
-			if cl.send(id, fin) {
+			if cl.sendFinish(id, fin) {
 				done <- struct{}{}
 			}
 		}()
@@ -166,22 +173,24 @@
 	}
 }
 
-// record tells all replicas the outcome without waiting for the caller.
-func (cl *Claim) record(ans weir.Response) {
+// finishAll sends the outcome to all replicas and waits for them. It does not
+// depend on the context of a request.
+func (cl *Claim) finishAll(ans weir.Response) {
 	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
 	var wg sync.WaitGroup
 	for _, id := range cl.gr.Replicas {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			cl.send(id, fin)
+			cl.sendFinish(id, fin)
 		}()
 	}
 	wg.Wait()
 }
 
-// send tries a few times to tell one replica.
-func (cl *Claim) send(id string, fin peerapi.Finish) bool {
+// sendFinish sends the outcome to one replica, with up to finishTries tries. It
+// reports whether the replica has it.
+func (cl *Claim) sendFinish(id string, fin peerapi.Finish) bool {
 	if id == cl.gr.Self {
 		cl.gr.Store.Finish(fin)
 		return true
--- a/internal/entry/ledger/key.go
+++ b/internal/entry/ledger/key.go
@@ -10,26 +10,26 @@
 	weir "greengageweir"
 )
 
-// Key is a parsed idempotency key: a version 7 UUID (RFC 9562), which carries
-// the time it was made, optionally behind the name of its home zone and a dot.
+// Key is a parsed idempotency key: a version 7 UUID (RFC 9562), which contains
+// its creation time, with an optional prefix of the home zone's name and a dot.
 type Key struct {
 	Text      string
 	Zone      weir.Zone
 	Timestamp time.Time
 }
 
-// NewKey makes a key with a home.
+// NewKey creates a key with a home zone.
 func NewKey(zone weir.Zone, now time.Time) (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
 		return "", &Error{Op: "new key", Kind: KindInvalidKey, Err: err}
 	}
-	setStamp(&id, now)
+	setTimestamp(&id, now)
 	return string(zone) + "." + id.String(), nil
 }
 
-// setStamp writes the milliseconds of now into the first six bytes.
-func setStamp(id *uuid.UUID, now time.Time) {
+// setTimestamp writes the Unix time in milliseconds into the first six bytes.
+func setTimestamp(id *uuid.UUID, now time.Time) {
 	millis := now.UnixMilli()
 	for ix := 5; ix >= 0; ix-- {
 		id[ix] = byte(millis)
@@ -37,7 +37,7 @@
 	}
 }
 
-// ParseKey reads a key.
+// ParseKey parses a key.
 func ParseKey(text string) (Key, error) {
 	zone, rest, found := strings.Cut(text, ".")
 	if !found {
@@ -57,12 +57,12 @@
 	return Key{Text: text, Zone: weir.Zone(zone), Timestamp: time.UnixMilli(millis)}, nil
 }
 
-// Rank orders candidates for a key by rendezvous hashing (Thaler and
-// Ravishankar, 1998): the highest rank is the first choice.
+// Rank returns the rank of a candidate for a key by rendezvous hashing (Thaler
+// and Ravishankar, 1998). The candidate with the highest rank is chosen first.
 func Rank(key, candidate string) uint64 { return xxhash.Sum64String(candidate + "\x00" + key) }
 
-// HomeZone returns the zone that keeps the key's record: its mark, or for a key
-// without one the first choice by rendezvous hashing.
+// HomeZone returns the zone that keeps the key's record: the zone in its
+// prefix, or without a known one the zone with the highest rank.
 func (ke Key) HomeZone(zones []weir.Zone) weir.Zone {
 	var best weir.Zone
 	var bestRank uint64
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -19,18 +19,18 @@
 
 var origin = time.Unix(1_800_000_000, 0)
 
-// fakeMesh connects stores directly; a call to an entry in down fails before
-// it is sent, one to an entry in mute is handled but its reply is lost.
+// fakeMesh connects stores directly. A call to an entry in down fails before it
+// is sent; one to an entry in replyLost is handled, but its reply is lost.
 type fakeMesh struct {
-	mu     sync.Mutex
-	clk    *clock.Manual
-	stores map[string]*Store
-	down   map[string]bool
-	mute   map[string]bool
+	mu        sync.Mutex
+	clk       *clock.Manual
+	stores    map[string]*Store
+	down      map[string]bool
+	replyLost map[string]bool
 }
 
 func newFakeMesh(clk *clock.Manual, ids ...string) *fakeMesh {
-	fm := &fakeMesh{clk: clk, stores: map[string]*Store{}, down: map[string]bool{}, mute: map[string]bool{}}
+	fm := &fakeMesh{clk: clk, stores: map[string]*Store{}, down: map[string]bool{}, replyLost: map[string]bool{}}
 	for _, id := range ids {
 		fm.restart(id)
 	}
@@ -60,7 +60,7 @@
 	default:
 		return errors.New("unknown method " + method)
 	}
-	if fm.mute[id] {
+	if fm.replyLost[id] {
 		return errors.New("reply lost")
 	}
 	return nil
@@ -75,22 +75,22 @@
 	require.NoError(t, rc.Run(context.Background()))
 }
 
-func (fm *fakeMesh) flip(set map[string]bool, id string) {
+func (fm *fakeMesh) toggle(set map[string]bool, id string) {
 	fm.mu.Lock()
 	defer fm.mu.Unlock()
 	set[id] = !set[id]
 }
 
-func (fm *fakeMesh) allReached(ids []string) bool {
+func (fm *fakeMesh) allReachable(ids []string) bool {
 	for _, id := range ids {
-		if fm.down[id] || fm.mute[id] {
+		if fm.down[id] || fm.replyLost[id] {
 			return false
 		}
 	}
 	return true
 }
 
-func TestKeys(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	text, err := NewKey("north", origin)
 	require.NoError(t, err)
 	key, err := ParseKey(text)
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestHomeOfKey(t *testing.T) {
+func TestHomeZone(t *testing.T) {
 	zones := []weir.Zone{"a", "b", "c", "d"}
 	marked, err := NewKey("c", origin)
 	require.NoError(t, err)
@@ -119,7 +119,7 @@
 		counts[plain.HomeZone(zones)]++
 	}
 	for _, zone := range zones {
-		require.InDelta(t, 1000, counts[zone], 200, "keys without a mark spread evenly")
+		require.InDelta(t, 1000, counts[zone], 200, "keys without a zone prefix are spread evenly")
 	}
 }
 
@@ -130,7 +130,7 @@
 	require.Equal(t, []string{"c1", "a1", "a2"}, Replicas(sites, "c"))
 }
 
-func TestStoreTable(t *testing.T) {
+func TestStoreReserveAndFinish(t *testing.T) {
 	clk := clock.NewManual(origin)
 	st := NewStore(clk.Now(), time.Minute, 2)
 	key := func(at time.Time) string {
@@ -161,11 +161,11 @@
 	clk.Advance(3 * time.Minute)
 	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).Reason, "past retention")
 	require.Zero(t, st.Stats().Keys)
-	// A clock that steps back does not bring forgotten keys into range again.
+	// A clock that is set back must not bring dropped keys into range again.
 	require.Equal(t, peerapi.ReserveRefused, st.Reserve(origin.Add(20*time.Second), peerapi.Reserve{Key: k1, Attempt: "b"}).State)
 }
 
-func TestClaimTable(t *testing.T) {
+func TestClaimNeedsMajority(t *testing.T) {
 	ids := []string{"a1", "a2", "b1"}
 	cases := []struct {
 		name       string
@@ -189,21 +189,21 @@
 				fm.down[id] = true
 			}
 			for _, id := range tc.mute {
-				fm.mute[id] = true
+				fm.replyLost[id] = true
 			}
 			claim := fm.group("a1", ids...).Claim(context.Background(), key, "a1/1")
 			require.Equal(t, tc.won, claim.Won)
 			if !tc.won {
-				require.Equal(t, weir.Unknown, claim.Answer.Kind, "without a majority nothing is known")
+				require.Equal(t, weir.Unknown, claim.Answer.Kind, "an earlier attempt may have run")
 			}
 		})
 	}
 }
 
-// TestRestartsNeverLetAKeyRunTwice lets replicas restart without their
-// memory, one at a time, with and without recovery in between, and counts how
-// often a key is won.
-func TestRestartsNeverLetAKeyRunTwice(t *testing.T) {
+// TestKeyIsWonOnceAcrossRestarts guards against a key that two attempts win.
+// Replicas restart with no records, one at a time, with and without recovery in
+// between, while instances fail and replies are lost.
+func TestKeyIsWonOnceAcrossRestarts(t *testing.T) {
 	ids := []string{"a1", "a2", "b1"}
 	refusedKeys := 0
 	for seed := range int64(300) {
@@ -220,13 +220,13 @@
 			case 0:
 				fm.restart(id)
 			case 1:
-				if fm.allReached(ids) {
+				if fm.allReachable(ids) {
 					fm.recover(t, id, ids...)
 				}
 			case 2:
-				fm.flip(fm.down, id)
+				fm.toggle(fm.down, id)
 			case 3:
-				fm.flip(fm.mute, id)
+				fm.toggle(fm.replyLost, id)
 			default:
 				key := ""
 				if len(keys) > 0 && rng.Intn(2) == 0 {
@@ -255,10 +255,10 @@
 	t.Logf("claims without a majority: %d", refusedKeys)
 }
 
-// TestRecoveryDoesNotLoseTheWinner covers a replica that copies the record of
-// an attempt that lost its claim before that of the one that won, and is then
-// told that the former did not run.
-func TestRecoveryDoesNotLoseTheWinner(t *testing.T) {
+// TestRecoveryKeepsWinningAttempt guards against a recovery that frees a key
+// which another attempt has won: the replica copies the record of the losing
+// attempt first and is then told that this attempt did not run.
+func TestRecoveryKeepsWinningAttempt(t *testing.T) {
 	ids := []string{"a1", "a2", "b1"}
 	clk := clock.NewManual(origin)
 	fm := newFakeMesh(clk, ids...)
@@ -274,5 +274,5 @@
 		fm.stores[id].Finish(peerapi.Finish{Key: key, Attempt: "lost", Answer: weir.NotRunResponse("not claimed")})
 	}
 	claim := fm.group("a1", ids...).Claim(context.Background(), key, "again")
-	require.False(t, claim.Won, "the key was won before")
+	require.False(t, claim.Won, "another attempt has won the key")
 }
--- a/internal/entry/ledger/recover.go
+++ b/internal/entry/ledger/recover.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	recoverPause   = 100 * time.Millisecond
-	recoverTimeout = 2 * time.Second
+	recoverRetryPause = 100 * time.Millisecond
+	recoverTimeout    = 2 * time.Second
 )
 
 // Recovery copies the records of the other replicas after a start. Replicas
-// holds all members of the groups that this instance belongs to.
+// lists all members of the groups that this instance belongs to.
 type Recovery struct {
 	Self     string
 	Replicas []string
@@ -24,13 +24,14 @@
 	Logger   log.Logger
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (rc *Recovery) String() string { return "ledger recovery" }
 
-// Default has nothing to fill.
+// Default does nothing: there are no settings to fill in.
 func (rc *Recovery) Default() error { return nil }
 
-// Run tries until all other replicas gave all their records.
+// Run retries until it has copied all records of all other replicas, then
+// lowers the floor.
 func (rc *Recovery) Run(ctx context.Context) error {
 	floors := map[string]time.Time{}
 	for !rc.complete(floors) {
@@ -48,20 +49,20 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(recoverPause):
+		case <-time.After(recoverRetryPause):
 		}
 	}
-	rc.Store.LowerFloor(highest(floors))
+	rc.Store.LowerFloor(latest(floors))
 	_ = rc.Logger.Log("level", "info", "msg", "ledger recovered", "keys", rc.Store.Stats().Keys)
 	return nil
 }
 
-// complete reports whether all other replicas were copied.
+// complete reports whether the records of all other replicas are copied.
 func (rc *Recovery) complete(floors map[string]time.Time) bool {
 	return len(floors) >= len(rc.Replicas)-1
 }
 
-func highest(floors map[string]time.Time) time.Time {
+func latest(floors map[string]time.Time) time.Time {
 	var top time.Time
 	for _, floor := range floors {
 		if floor.After(top) {
@@ -71,8 +72,9 @@
 	return top
 }
 
-// copyFrom loads the records of one replica and returns its floor as it was
-// before the first page: what it learns later is not in the copy.
+// copyFrom loads the records of one replica. It returns the floor from the first
+// page: if the replica lowers its floor during the copy, records that it loads
+// then may be missing here.
 func (rc *Recovery) copyFrom(ctx context.Context, id string) (time.Time, bool) {
 	after := ""
 	var floor time.Time
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -1,20 +1,22 @@
-// Package ledger keeps the outcome of each keyed request, so that it runs at
-// most once. The record of a key is held by the replicas of its home zone's
-// group; an attempt may be dispatched only after a majority of them granted
-// it the key.
+// Package ledger records the outcome of each request with an idempotency key,
+// so that the request runs at most once. The record of a key is kept by the
+// replicas of its home zone's group. An attempt may be dispatched only after a
+// majority of these replicas has granted it the key.
 //
-// Replicas hold records in memory. Each has a floor: it remembers every grant
-// of a key whose stamp is after it, and refuses keys below it. A replica that
-// starts has forgotten everything, so its floor is its start and MaxSkew. Once
-// it has copied the records of all other replicas of its group, its floor
-// falls to the highest of theirs.
+// Replicas keep records in memory. Each has a floor: it knows every grant of a
+// key whose timestamp is after the floor, and refuses all other keys. A replica
+// that starts knows no grants, so its floor is its start time plus
+// MaxClockSkew. Once it has copied the records of all other replicas of its
+// group, it lowers its floor to the highest of theirs.
 //
 // Usage:
 //
 //	st := ledger.NewStore(now, 10*time.Minute, 500_000)
-//	gr := &ledger.Group{Self: "shy-1", Store: st, Peers: peers, ...}
-//	claim := gr.Claim(ctx, now, key)
-//	claim.Finish(ctx, answer)
+//	gr := &ledger.Group{Self: "shy-1", Store: st, Replicas: ids, ...}
+//	claim := gr.Claim(ctx, key, attempt)
+//	if claim.Won {
+//		claim.Finish(ctx, resp)
+//	}
 package ledger
 
 import (
@@ -28,7 +30,7 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
@@ -41,26 +43,28 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// MaxClockSkew is how far the clocks of entry instances and of callers that
-	// make keys themselves may differ.
+	// MaxClockSkew is the greatest difference allowed between the clocks of
+	// entry instances and of callers that create keys themselves.
 	MaxClockSkew = 2 * time.Second
-	// dumpPage bounds the records of one page.
-	dumpPage = 2000
-	// maxKeptBody bounds a recorded body; a longer one is answered once and
-	// recorded without it.
-	maxKeptBody = 16 << 10
+	// dumpPageSize is the maximum number of records in a page of a dump.
+	dumpPageSize = 2000
+	// maxRecordedBody is the maximum size of a recorded body in bytes. A
+	// response with a longer body is returned once and recorded without it.
+	maxRecordedBody = 16 << 10
 )
 
+// record is the state of one key: the attempt that holds it, and the response
+// once there is one.
 type record struct {
 	attempt string
 	answer  *weir.Response
-	// copied records came from another replica. Which attempt they name says
-	// little, since replicas may hold the key for different ones, so that no
-	// attempt's "not run" frees them.
+	// copied is set for a record from another replica. Replicas may have
+	// granted the key to different attempts, so the attempt named here need not
+	// be the one that won, and its "not run" must not free the key.
 	copied bool
 }
 
-// Store is one replica's memory. It is safe for concurrent use.
+// Store holds the records of one replica. It is safe for concurrent use.
 type Store struct {
 	retention time.Duration
 	capacity  int
@@ -69,26 +73,29 @@
 	started time.Time
 	floor   time.Time
 	records map[string]record
-	// expiry holds keys by the minute of their stamp.
+	// expiry holds the keys by the minute of their timestamp.
 	expiry map[int64][]string
-	swept  int64
+	// expiredUntil is the first minute whose keys have not been dropped.
+	expiredUntil int64
 }
 
-// NewStore returns an empty replica that started at the given time and keeps
-// at most capacity keys for the retention time.
+// NewStore returns the empty store of a replica that started at the given time.
+// It keeps at most capacity keys, each for the retention time.
 func NewStore(now time.Time, retention time.Duration, capacity int) *Store {
 	return &Store{
 		retention: retention, capacity: capacity, started: now, floor: now.Add(MaxClockSkew),
-		records: map[string]record{}, expiry: map[int64][]string{}, swept: now.Add(-retention).Unix() / 60,
+		records: map[string]record{}, expiry: map[int64][]string{}, expiredUntil: now.Add(-retention).Unix() / 60,
 	}
 }
 
-// InRange reports whether a key is neither too old nor from the future.
+// InRange reports whether a key's timestamp is within retention and not in the
+// future.
 func (st *Store) InRange(now time.Time, key Key) bool {
 	return key.Timestamp.After(now.Add(-st.retention)) && key.Timestamp.Before(now.Add(MaxClockSkew))
 }
 
-// Reserve grants the key to an attempt, or tells who has it.
+// Reserve grants the key to an attempt, or returns the attempt that holds it,
+// its recorded response or the reason of a refusal.
 func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveResponse {
 	key, err := ParseKey(res.Key)
 	if err != nil {
@@ -96,12 +103,12 @@
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.sweep(now)
+	st.dropExpired(now)
 	if rec, ok := st.records[res.Key]; ok {
-		return rec.reply(res.Attempt)
+		return rec.response(res.Attempt)
 	}
 	switch {
-	case !st.InRange(now, key) || key.Timestamp.Unix()/60 < st.swept:
+	case !st.InRange(now, key) || key.Timestamp.Unix()/60 < st.expiredUntil:
 		return refused("key out of range")
 	case !key.Timestamp.After(st.floor):
 		return refused("replica recovers")
@@ -112,7 +119,7 @@
 	return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
 }
 
-func (rc record) reply(attempt string) peerapi.ReserveResponse {
+func (rc record) response(attempt string) peerapi.ReserveResponse {
 	if rc.answer != nil {
 		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
 	}
@@ -134,8 +141,8 @@
 	st.records[key.Text] = rec
 }
 
-// Finish records the outcome of an attempt. One that did not run frees the
-// key for another attempt.
+// Finish records the outcome of an attempt. An attempt that did not run frees
+// the key for another one.
 func (st *Store) Finish(fin peerapi.Finish) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -149,29 +156,29 @@
 		}
 		return
 	}
-	// Only the attempt that won the key has another outcome, so it holds
-	// whichever attempt is named here.
+	// Only the attempt that won the key can have run, so its outcome is recorded
+	// even if this replica granted the key to another attempt.
 	ans := fin.Answer
-	if len(ans.Body) > maxKeptBody {
+	if len(ans.Body) > maxRecordedBody {
 		ans.Body = nil
 		ans.Reason = "the recorded answer is without its body, which was too long to keep"
 	}
 	st.records[fin.Key] = record{attempt: fin.Attempt, answer: &ans, copied: rec.copied}
 }
 
-// sweep forgets the keys whose minute is past retention.
-func (st *Store) sweep(now time.Time) {
-	// A key's minute ends up to 60 s after its stamp.
+// dropExpired drops the keys whose minute is past retention.
+func (st *Store) dropExpired(now time.Time) {
+	// A key's minute ends up to 60 s after its timestamp.
 	last := now.Add(-st.retention-time.Minute).Unix() / 60
-	for ; st.swept < last; st.swept++ {
-		for _, key := range st.expiry[st.swept] {
+	for ; st.expiredUntil < last; st.expiredUntil++ {
+		for _, key := range st.expiry[st.expiredUntil] {
 			delete(st.records, key)
 		}
-		delete(st.expiry, st.swept)
+		delete(st.expiry, st.expiredUntil)
 	}
 }
 
-// Dump returns a page of records behind a key.
+// Dump returns the page of records that follows a key, in order of keys.
 func (st *Store) Dump(after string) peerapi.DumpResponse {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -182,15 +189,16 @@
 		}
 	}
 	sort.Strings(keys)
-	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPage}
-	for _, key := range keys[:min(len(keys), dumpPage)] {
+	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPageSize}
+	for _, key := range keys[:min(len(keys), dumpPageSize)] {
 		rec := st.records[key]
 		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Answer: rec.answer})
 	}
 	return page
 }
 
-// Load adds the records of another replica.
+// Load merges the records of another replica. A recorded response is never
+// replaced.
 func (st *Store) Load(records []peerapi.Record) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -207,8 +215,8 @@
 	}
 }
 
-// LowerFloor sets the floor after the records of all other replicas were loaded;
-// it never rises.
+// LowerFloor lowers the floor once the records of all other replicas are
+// loaded. It never raises it.
 func (st *Store) LowerFloor(floor time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -217,21 +225,21 @@
 	}
 }
 
-// AcceptsNewKeys reports whether every key that is made now is above the floor.
+// AcceptsNewKeys reports whether keys that are created now are above the floor.
 func (st *Store) AcceptsNewKeys(now time.Time) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return now.After(st.floor)
 }
 
-// Stats is a replica's state for the state dump.
+// Stats is the state of a replica, for the state dump.
 type Stats struct {
 	Keys    int       `json:"keys"`
 	Started time.Time `json:"started"`
 	Floor   time.Time `json:"floor"`
 }
 
-// Stats returns the replica's state.
+// Stats returns the state of the replica.
 func (st *Store) Stats() Stats {
 	st.mu.Lock()
 	defer st.mu.Unlock()
