--- a/internal/entry/callerapi/front.go
+++ b/internal/entry/callerapi/server.go
@@ -1,9 +1,10 @@
-// Package front is the callers' HTTP interface of an entry instance.
+// Package callerapi serves the callers' HTTP API of an entry instance.
 //
 // Usage:
 //
-//	fr := &front.Front{Addr: addr, Zone: zone, Dispatcher: dp, Table: tb, Clock: clk}
-//	go fr.Run(ctx)
+//	sv := &callerapi.Server{Addr: addr, Zone: zone, Dispatcher: dp, Services: tb, Clock: clk}
+//	err := sv.Default()
+//	err = sv.Run(ctx)
 package callerapi
 
 import (
@@ -28,7 +29,7 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors.
@@ -41,28 +42,31 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// maxBodyBytes bounds a caller's body.
-	maxBodyBytes = 1 << 20
-	maxTimeout   = 10 * time.Minute
-	retryAfter   = 1 // seconds
+	// maxBodyBytes is the maximum size of a request body.
+	maxBodyBytes      = 1 << 20
+	maxTimeout        = 10 * time.Minute
+	retryAfterSeconds = 1
 )
 
-// Services tells a service's settings.
+// Services returns the settings of services.
 type Services interface {
 	Service(name weir.ServiceName) (model.Service, bool)
 }
 
-// Server serves callers. Set the exported fields before Run.
+// Server is the HTTP server for callers. Set the exported fields before
+// Default.
 type Server struct {
 	Addr       string
 	Zone       weir.Zone
 	Dispatcher weir.Dispatcher
 	Services   Services
 	Clock      weir.Clock
-	// Ready returns why callers should not come here, or nil.
+	// Ready returns nil if callers may use this instance, or the reason why
+	// they should not.
 	Ready func() error
-	// DrainNotice is how long the balancer is told before the listener closes,
-	// DrainPatience how long requests in flight may take after that.
+	// DrainNotice is the time between the start of a stop and the closing of
+	// the listener, in which the load balancer can notice the stop.
+	// DrainPatience is the time for requests in flight after that.
 	DrainNotice   time.Duration
 	DrainPatience time.Duration
 
@@ -72,82 +76,82 @@
 	inFlight atomic.Int64
 }
 
-// String is the step's name in logs.
-func (fr *Server) String() string { return "callers' server" }
+// String returns the component's name in logs.
+func (sv *Server) String() string { return "callers' server" }
 
-// Default opens the listener.
-func (fr *Server) Default() error {
-	lis, err := net.Listen("tcp", fr.Addr)
+// Default opens the listener and registers the routes.
+func (sv *Server) Default() error {
+	lis, err := net.Listen("tcp", sv.Addr)
 	if err != nil {
 		return &Error{Op: "callers' server", Kind: KindListen, Err: err}
 	}
-	fr.listener = lis
+	sv.listener = lis
 	ech := ops.NewEcho()
-	ech.POST(caller.PathKeys, fr.newKey)
-	ech.Any(caller.PathCall+":service", fr.call)
-	ech.Any(caller.PathCall+":service/*", fr.call)
+	ech.POST(caller.PathKeys, sv.handleNewKey)
+	ech.Any(caller.PathCall+":service", sv.handleCall)
+	ech.Any(caller.PathCall+":service/*", sv.handleCall)
 	ech.GET("/healthz", func(ctx echo.Context) error { return ctx.String(http.StatusOK, "ok\n") })
-	ech.GET("/readyz", fr.ready)
-	fr.server = ops.NewHTTPServer(ech)
+	ech.GET("/readyz", sv.handleReady)
+	sv.server = ops.NewHTTPServer(ech)
 	return nil
 }
 
-// Run serves until the context ends, then tells the balancer, waits, and lets
-// requests in flight finish.
-func (fr *Server) Run(ctx context.Context) error {
+// Run serves until the context ends. It then reports that it is stopping, waits
+// for DrainNotice, closes the listener and lets requests in flight finish.
+func (sv *Server) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- ops.Serve(serveCtx, fr.server, fr.listener, fr.DrainPatience) }()
+	go func() { done <- ops.Serve(serveCtx, sv.server, sv.listener, sv.DrainPatience) }()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
-	fr.stopping.Store(true)
-	time.Sleep(fr.DrainNotice)
+	sv.stopping.Store(true)
+	time.Sleep(sv.DrainNotice)
 	cancel()
 	return <-done
 }
 
-// InFlight returns how many callers wait for an answer.
-func (fr *Server) InFlight() int64 { return fr.inFlight.Load() }
+// InFlight returns the number of requests in flight.
+func (sv *Server) InFlight() int64 { return sv.inFlight.Load() }
 
-// Stopping reports whether a graceful stop is under way.
-func (fr *Server) Stopping() bool { return fr.stopping.Load() }
+// Stopping reports whether a graceful stop has begun.
+func (sv *Server) Stopping() bool { return sv.stopping.Load() }
 
-func (fr *Server) ready(ctx echo.Context) error {
-	if err := fr.Ready(); err != nil {
+func (sv *Server) handleReady(ctx echo.Context) error {
+	if err := sv.Ready(); err != nil {
 		return ctx.String(http.StatusServiceUnavailable, err.Error()+"\n")
 	}
 	return ctx.String(http.StatusOK, "ready\n")
 }
 
-func (fr *Server) newKey(ctx echo.Context) error {
-	key, err := ledger.NewKey(fr.Zone, fr.Clock.Now())
+func (sv *Server) handleNewKey(ctx echo.Context) error {
+	key, err := ledger.NewKey(sv.Zone, sv.Clock.Now())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusInternalServerError, err.Error())
 	}
 	return ctx.JSON(http.StatusOK, caller.KeyResponse{Key: key})
 }
 
-func (fr *Server) call(ctx echo.Context) error {
-	fr.inFlight.Add(1)
-	defer fr.inFlight.Add(-1)
-	req, err := fr.request(ctx)
+func (sv *Server) handleCall(ctx echo.Context) error {
+	sv.inFlight.Add(1)
+	defer sv.inFlight.Add(-1)
+	req, err := sv.parseRequest(ctx)
 	if err != nil {
-		return refuse(ctx, err.Error())
+		return respondBadRequest(ctx, err.Error())
 	}
-	return write(ctx, fr.Dispatcher.Do(ctx.Request().Context(), req))
+	return writeResponse(ctx, sv.Dispatcher.Do(ctx.Request().Context(), req))
 }
 
-// refuse answers a request that is not understood; it did not run.
-func refuse(ctx echo.Context, reason string) error {
+// respondBadRequest responds to an invalid request, which did not run.
+func respondBadRequest(ctx echo.Context, reason string) error {
 	ctx.Response().Header().Set(caller.HeaderOutcome, string(weir.NotRun))
 	return ctx.JSON(http.StatusBadRequest, caller.OutcomeBody{Outcome: weir.NotRun, Reason: reason})
 }
 
-func write(ctx echo.Context, ans weir.Response) error {
+func writeResponse(ctx echo.Context, ans weir.Response) error {
 	head := ctx.Response().Header()
 	head.Set(caller.HeaderOutcome, string(ans.Kind))
 	if ans.Kind == weir.Complete {
@@ -155,16 +159,16 @@
 		return ctx.Blob(ans.Status, ans.ContentType, ans.Body)
 	}
 	head.Set(caller.HeaderReason, ans.Reason)
-	head.Set("Retry-After", strconv.Itoa(retryAfter))
+	head.Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	return ctx.JSON(caller.StatusOf(ans), caller.OutcomeBody{Outcome: ans.Kind, Reason: ans.Reason})
 }
 
-// request reads a caller's request.
-func (fr *Server) request(ctx echo.Context) (weir.Request, error) {
+// parseRequest reads a caller's request and checks it.
+func (sv *Server) parseRequest(ctx echo.Context) (weir.Request, error) {
 	httpReq := ctx.Request()
 	head := httpReq.Header
 	name := weir.ServiceName(ctx.Param("service"))
-	svc, ok := fr.Services.Service(name)
+	svc, ok := sv.Services.Service(name)
 	if !ok {
 		return weir.Request{}, &Error{Op: "service " + string(name), Kind: KindRequest, Err: errors.New("no such service")}
 	}
@@ -172,20 +176,22 @@
 	if err != nil {
 		return weir.Request{}, &Error{Op: "read body", Kind: KindRequest, Err: err}
 	}
-	timeout, err := timeoutOf(head.Get(caller.HeaderTimeout), time.Duration(svc.Timeout))
+	timeout, err := parseTimeout(head.Get(caller.HeaderTimeout), time.Duration(svc.Timeout))
 	if err != nil {
 		return weir.Request{}, err
 	}
 	req := weir.Request{
 		Service: name, Team: weir.TeamName(head.Get(caller.HeaderTeam)), Method: httpReq.Method,
-		Path: pathOf(ctx), ContentType: head.Get(echo.HeaderContentType), Body: body,
-		Key: head.Get(caller.HeaderKey), Class: weir.Urgent, Repeatable: repeatable(httpReq),
-		Deadline: fr.Clock.Now().Add(timeout),
+		Path: endpointPath(ctx), ContentType: head.Get(echo.HeaderContentType), Body: body,
+		Key: head.Get(caller.HeaderKey), Class: weir.Urgent, Repeatable: isRepeatable(httpReq),
+		Deadline: sv.Clock.Now().Add(timeout),
 	}
-	return withClass(req, head.Get(caller.HeaderClass))
+	return setClassAndCheckKey(req, head.Get(caller.HeaderClass))
 }
 
-func withClass(req weir.Request, class string) (weir.Request, error) {
+// setClassAndCheckKey returns the request with its class, or an error if the
+// class or the request's key is not valid.
+func setClassAndCheckKey(req weir.Request, class string) (weir.Request, error) {
 	switch weir.Class(class) {
 	case "", weir.Urgent:
 	case weir.Deferrable:
@@ -201,7 +207,7 @@
 	return req, nil
 }
 
-func timeoutOf(text string, def time.Duration) (time.Duration, error) {
+func parseTimeout(text string, def time.Duration) (time.Duration, error) {
 	if text == "" {
 		return def, nil
 	}
@@ -212,16 +218,18 @@
 	return val, nil
 }
 
-// repeatable follows the method's definition (RFC 9110, section 9.2) unless
+// isRepeatable follows the method's definition (RFC 9110, section 9.2) unless
 // the caller says otherwise.
-func repeatable(httpReq *http.Request) bool {
+func isRepeatable(httpReq *http.Request) bool {
 	if text := httpReq.Header.Get(caller.HeaderRepeatable); text != "" {
 		return text == "true"
 	}
 	return httpReq.Method == http.MethodGet || httpReq.Method == http.MethodHead
 }
 
-func pathOf(ctx echo.Context) string {
+// endpointPath returns the path and query for the endpoint: what follows the
+// service in the URL.
+func endpointPath(ctx echo.Context) string {
 	path := "/" + strings.TrimPrefix(ctx.Param("*"), "/")
 	if query := ctx.Request().URL.RawQuery; query != "" {
 		path += "?" + query
