--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -1,10 +1,11 @@
-// Package serve answers endpoints and the other entry instances.
+// Package serve handles the calls of other entry instances and the
+// announcements of endpoints.
 //
 // Usage:
 //
-//	sv := &serve.Service{Dispatcher: dp, Table: tb, Store: st, Mesh: ms, Clock: clk}
-//	server := &peer.Server{Addr: addr, Token: token, Handle: sv.Handle}
-//	announcements := &serve.Announcements{Addr: addr, Table: tb}
+//	hd := &serve.PeerHandler{Dispatcher: dp, Table: tb, Store: st, Mesh: ms, Clock: clk}
+//	server := &peer.Server{Addr: addr, Token: token, Handle: hd.Handle}
+//	announcements := &serve.AnnouncementServer{Addr: addr, Table: tb}
 package serve
 
 import (
@@ -29,16 +30,17 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindListen says that the address cannot be listened on.
+// KindListen means that the listener could not be opened.
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// PeerHandler answers the other entry instances. Set the exported fields first.
+// PeerHandler handles the calls of other entry instances. Set the exported
+// fields before use.
 type PeerHandler struct {
 	Dispatcher *dispatch.Dispatcher
 	Table      *placement.Table
@@ -105,12 +107,12 @@
 }
 
 const (
-	maxAnnouncement = "1M"
-	stopPatience    = time.Second
+	maxAnnouncementSize = "1M"
+	shutdownTimeout     = time.Second
 )
 
-// AnnouncementServer is the endpoints' listener. Set the exported fields before
-// Run.
+// AnnouncementServer is the HTTP server for the announcements of endpoints. Set
+// the exported fields before Default.
 type AnnouncementServer struct {
 	Addr  string
 	Table *placement.Table
@@ -119,10 +121,10 @@
 	server   *http.Server
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (an *AnnouncementServer) String() string { return "endpoints' server" }
 
-// Default opens the listener.
+// Default opens the listener and registers the route.
 func (an *AnnouncementServer) Default() error {
 	lis, err := net.Listen("tcp", an.Addr)
 	if err != nil {
@@ -130,21 +132,21 @@
 	}
 	an.listener = lis
 	ech := ops.NewEcho()
-	ech.Use(middleware.BodyLimit(maxAnnouncement))
-	ech.POST(endpoint.PathAnnounce, an.announce)
+	ech.Use(middleware.BodyLimit(maxAnnouncementSize))
+	ech.POST(endpoint.PathAnnounce, an.handleAnnounce)
 	an.server = ops.NewHTTPServer(ech)
 	return nil
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the listener.
 func (an *AnnouncementServer) Address() string { return an.listener.Addr().String() }
 
 // Run serves until the context ends.
 func (an *AnnouncementServer) Run(ctx context.Context) error {
-	return ops.Serve(ctx, an.server, an.listener, stopPatience)
+	return ops.Serve(ctx, an.server, an.listener, shutdownTimeout)
 }
 
-func (an *AnnouncementServer) announce(ctx echo.Context) error {
+func (an *AnnouncementServer) handleAnnounce(ctx echo.Context) error {
 	var ann endpoint.Announcement
 	if err := ctx.Bind(&ann); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
