--- a/internal/entry/viewsync/offset.go
+++ b/internal/entry/viewsync/offset.go
@@ -2,5 +2,6 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// spread gives each entry instance another control process to start with.
-func spread(id string) uint64 { return xxhash.Sum64String(id) }
+// startOffset returns a hash of an entry instance's id, which distributes the
+// first subscriptions of the instances over the control processes.
+func startOffset(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/entry/viewsync/subscriber.go
+++ b/internal/entry/viewsync/subscriber.go
@@ -1,14 +1,15 @@
-// Package follow keeps an entry instance's view up to date. It is linked to
-// all control processes and subscribes at one of them; when that one falls
-// silent or has lost the leader, it subscribes at another. The view never
-// goes back, whoever sends it, and an entry instance that is cut off keeps
-// the one it has.
+// Package viewsync keeps an entry instance's copy of the fleet view up to date.
+// It connects to all control processes and subscribes to the view at one of
+// them. When that process is unreachable or a call to it fails, as without a
+// leader, it subscribes at another one. The view's index never decreases,
+// whichever process sends it, and an entry instance without any control process
+// keeps its last view.
 //
 // Usage:
 //
-//	fl := &follow.Follower{Controls: addrs, Token: token, Self: self, OnView: tb.SetView}
-//	go fl.Run(ctx)
-//	err := fl.Call(ctx, peerapi.EntryReport, report, &answer)
+//	sb := &viewsync.Subscriber{Controls: addrs, Token: token, Self: self, OnView: tb.SetView}
+//	go sb.Run(ctx)
+//	err := sb.Call(ctx, peerapi.EntryReport, report, &answer)
 package viewsync
 
 import (
@@ -28,11 +29,11 @@
 )
 
 const (
-	checkEvery       = 100 * time.Millisecond
+	checkInterval    = 100 * time.Millisecond
 	subscribeTimeout = time.Second
 )
 
-// Subscriber follows the view. Set the exported fields before Run.
+// Subscriber keeps a copy of the view. Set the exported fields before Default.
 type Subscriber struct {
 	Controls []string
 	Token    string
@@ -41,149 +42,157 @@
 	// OnView is called with each newer view, in order.
 	OnView func(vw view.View)
 
-	links []*peer.Client
+	clients []*peer.Client
 
-	mu     sync.Mutex
-	view   view.View
-	feed   int
-	feedOn *jsonrpc2.Conn
-	stale  bool
+	mu   sync.Mutex
+	view view.View
+	// source is the index of the client with the subscription, or -1, and
+	// sourceConn the connection on which it was made.
+	source     int
+	sourceConn *jsonrpc2.Conn
+	// stale is set when the subscription must be renewed.
+	stale bool
 }
 
-// String is the step's name in logs.
-func (fl *Subscriber) String() string { return "view follower" }
+// String returns the component's name in logs.
+func (sb *Subscriber) String() string { return "view subscriber" }
 
-// Default builds the links to the control processes.
-func (fl *Subscriber) Default() error {
-	fl.feed = -1
-	for ix, addr := range fl.Controls {
-		fl.links = append(fl.links, &peer.Client{
-			Addr: addr, Token: fl.Token, Self: fl.Self,
-			Handle: func(_ context.Context, call peer.Call) (any, error) { return nil, fl.take(ix, call) },
+// Default creates the clients of the control processes.
+func (sb *Subscriber) Default() error {
+	sb.source = -1
+	for ix, addr := range sb.Controls {
+		sb.clients = append(sb.clients, &peer.Client{
+			Addr: addr, Token: sb.Token, Self: sb.Self,
+			Handle: func(_ context.Context, call peer.Call) (any, error) { return nil, sb.handleNotification(ix, call) },
 		})
 	}
 	return nil
 }
 
-// Run keeps a subscription until the context ends.
-func (fl *Subscriber) Run(ctx context.Context) error {
-	steps := make([]weir.Component, 0, len(fl.links)+1)
-	for _, cl := range fl.links {
-		steps = append(steps, cl)
+// Run connects to the control processes and maintains the subscription until
+// the context ends.
+func (sb *Subscriber) Run(ctx context.Context) error {
+	components := make([]weir.Component, 0, len(sb.clients)+1)
+	for _, cl := range sb.clients {
+		components = append(components, cl)
 	}
-	return run.All(ctx, fl.Logger, append(steps, &run.Func{Name: "subscriber", Do: fl.keepFeed})...)
+	return run.All(ctx, sb.Logger, append(components, &run.Func{Name: "subscriber", Do: sb.keepSubscribed})...)
 }
 
-// View returns the present view.
-func (fl *Subscriber) View() view.View {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	return fl.view
+// View returns the current view.
+func (sb *Subscriber) View() view.View {
+	sb.mu.Lock()
+	defer sb.mu.Unlock()
+	return sb.view
 }
 
-// Call calls a method at the control process that feeds the view.
-func (fl *Subscriber) Call(ctx context.Context, method string, params, result any) error {
-	fl.mu.Lock()
-	feed := fl.feed
-	fl.mu.Unlock()
-	if feed < 0 {
+// Call calls a method at the control process with the subscription. After an
+// error the subscriber changes to another process.
+func (sb *Subscriber) Call(ctx context.Context, method string, params, result any) error {
+	sb.mu.Lock()
+	source := sb.source
+	sb.mu.Unlock()
+	if source < 0 {
 		return &peer.Error{Op: method, Kind: peer.KindNotSent}
 	}
-	err := fl.links[feed].Call(ctx, method, params, result)
+	err := sb.clients[source].Call(ctx, method, params, result)
 	if err != nil {
-		fl.doubt()
+		sb.markStale()
 	}
 	return err
 }
 
-// doubt makes the subscriber look for another control process.
-func (fl *Subscriber) doubt() {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	fl.stale = true
+// markStale makes the subscriber change to another control process.
+func (sb *Subscriber) markStale() {
+	sb.mu.Lock()
+	defer sb.mu.Unlock()
+	sb.stale = true
 }
 
-// take handles a notification of the control process that feeds the view.
-// Effects that leave a gap make the follower subscribe again.
-func (fl *Subscriber) take(from int, call peer.Call) error {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	if from != fl.feed {
+// handleNotification applies a snapshot or effects from the control process
+// with the subscription; those of others are ignored.
+func (sb *Subscriber) handleNotification(from int, call peer.Call) error {
+	sb.mu.Lock()
+	defer sb.mu.Unlock()
+	if from != sb.source {
 		return nil
 	}
-	before := fl.view.Index
+	before := sb.view.Index
 	switch call.Method {
 	case peerapi.ViewSnapshot:
 		var vw view.View
 		if err := call.Decode(&vw); err != nil {
 			return err
 		}
-		if vw.Index > fl.view.Index {
-			fl.view = vw
+		if vw.Index > sb.view.Index {
+			sb.view = vw
 		}
 	case peerapi.ViewEffects:
 		var effs peerapi.Effects
 		if err := call.Decode(&effs); err != nil {
 			return err
 		}
-		fl.takeEffects(effs.List)
+		sb.applyEffects(effs.List)
 	}
-	if fl.view.Index > before {
-		fl.OnView(fl.view)
+	if sb.view.Index > before {
+		sb.OnView(sb.view)
 	}
 	return nil
 }
 
-func (fl *Subscriber) takeEffects(list []view.Effect) {
+// applyEffects applies effects to the view. An effect that does not follow the
+// view, because others were missed, makes the subscriber subscribe again.
+func (sb *Subscriber) applyEffects(list []view.Effect) {
 	for _, eff := range list {
-		vw, err := fl.view.With(eff)
+		vw, err := sb.view.With(eff)
 		if err != nil {
-			fl.stale = true
+			sb.stale = true
 			return
 		}
-		fl.view = vw
+		sb.view = vw
 	}
 }
 
-// keepFeed subscribes again whenever the feed is lost or in doubt.
-func (fl *Subscriber) keepFeed(ctx context.Context) error {
-	return run.Every(ctx, checkEvery, func() {
-		if fl.needsFeed() {
-			fl.subscribe(ctx)
+// keepSubscribed subscribes whenever there is no subscription, its connection
+// is lost or it is marked stale.
+func (sb *Subscriber) keepSubscribed(ctx context.Context) error {
+	return run.Every(ctx, checkInterval, func() {
+		if sb.needsSubscription() {
+			sb.subscribe(ctx)
 		}
 	})
 }
 
-func (fl *Subscriber) needsFeed() bool {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	return fl.feed < 0 || fl.stale || !fl.links[fl.feed].Connected() || fl.links[fl.feed].Conn() != fl.feedOn
+func (sb *Subscriber) needsSubscription() bool {
+	sb.mu.Lock()
+	defer sb.mu.Unlock()
+	return sb.source < 0 || sb.stale || !sb.clients[sb.source].Connected() || sb.clients[sb.source].Conn() != sb.sourceConn
 }
 
-// subscribe tries the control processes behind the last one, in turn.
-func (fl *Subscriber) subscribe(ctx context.Context) {
-	fl.mu.Lock()
-	start := fl.feed + 1
-	if fl.feed < 0 {
-		start = int(spread(fl.Self.ID) % uint64(len(fl.links)))
+// subscribe tries the control processes in turn, starting after the last one.
+func (sb *Subscriber) subscribe(ctx context.Context) {
+	sb.mu.Lock()
+	start := sb.source + 1
+	if sb.source < 0 {
+		start = int(startOffset(sb.Self.ID) % uint64(len(sb.clients)))
 	}
-	have := fl.view.Index
-	fl.mu.Unlock()
-	for off := range fl.links {
-		ix := (start + off) % len(fl.links)
-		conn := fl.links[ix].Conn()
+	have := sb.view.Index
+	sb.mu.Unlock()
+	for off := range sb.clients {
+		ix := (start + off) % len(sb.clients)
+		conn := sb.clients[ix].Conn()
 		if conn == nil {
 			continue
 		}
-		fl.mu.Lock()
-		fl.feed, fl.feedOn, fl.stale = ix, conn, false
-		fl.mu.Unlock()
+		sb.mu.Lock()
+		sb.source, sb.sourceConn, sb.stale = ix, conn, false
+		sb.mu.Unlock()
 		callCtx, cancel := context.WithTimeout(ctx, subscribeTimeout)
-		err := fl.links[ix].Call(callCtx, peerapi.ViewSubscribe, peerapi.Subscribe{Have: have}, nil)
+		err := sb.clients[ix].Call(callCtx, peerapi.ViewSubscribe, peerapi.Subscribe{Have: have}, nil)
 		cancel()
 		if err == nil {
 			return
 		}
-		fl.doubt()
+		sb.markStale()
 	}
 }
