--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -1,5 +1,5 @@
-// Package mesh holds the links from one entry instance to the others and what
-// they last said of their free slots.
+// Package mesh connects an entry instance to all other entry instances and
+// tracks the free slots that these advertise.
 //
 // Usage:
 //
@@ -25,15 +25,17 @@
 )
 
 const (
-	advertEvery = 100 * time.Millisecond
-	// advertRefresh is when an unchanged advert is sent again.
-	advertRefresh = time.Second
-	// fastPeers is how many peers in other zones are told of each change; with
-	// more, they are told less often, so that the sum of all adverts grows with
-	// the number of peers and not with its square.
-	fastPeers = 8
-	// advertAge is how long an advert is believed.
-	advertAge = 3 * time.Second
+	advertInterval = 100 * time.Millisecond
+	// advertRefreshInterval is the interval at which an unchanged advert is sent
+	// again.
+	advertRefreshInterval = time.Second
+	// promptPeers is the number of peers in other zones up to which each change
+	// is sent at once. With more peers adverts are sent less often, so that the
+	// total of all adverts grows with the number of peers and not with its
+	// square.
+	promptPeers = 8
+	// maxAdvertAge is the time after which an advert is ignored.
+	maxAdvertAge = 3 * time.Second
 )
 
 // Peer is another entry instance.
@@ -43,14 +45,15 @@
 	Addr string
 }
 
-// Mesh keeps a link to each peer. Set the exported fields before Run.
+// Mesh maintains a connection to each peer. Set the exported fields before
+// Default.
 type Mesh struct {
 	Self   peer.Identity
 	Peers  []Peer
 	Token  string
 	Clock  weir.Clock
 	Logger log.Logger
-	// Free returns the free slots that peers are told of.
+	// Free returns the free slots to advertise to peers.
 	Free func() map[weir.ServiceName]int
 
 	clients map[string]*peer.Client
@@ -60,15 +63,16 @@
 	adverts map[string]*advert
 }
 
+// advert is the last advert of a peer and the time of its arrival.
 type advert struct {
 	free map[weir.ServiceName]int
 	at   time.Time
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (ms *Mesh) String() string { return "entry mesh" }
 
-// Default builds the links.
+// Default creates the clients of the peers.
 func (ms *Mesh) Default() error {
 	ms.clients = map[string]*peer.Client{}
 	ms.zones = map[string]weir.Zone{ms.Self.ID: weir.Zone(ms.Self.Zone)}
@@ -83,19 +87,19 @@
 	return nil
 }
 
-// Run keeps the links up and sends adverts.
+// Run maintains the connections and sends adverts until the context ends.
 func (ms *Mesh) Run(ctx context.Context) error {
-	steps := make([]weir.Component, 0, len(ms.clients)+1)
+	components := make([]weir.Component, 0, len(ms.clients)+1)
 	for _, cl := range ms.clients {
-		steps = append(steps, cl)
+		components = append(components, cl)
 	}
-	return run.All(ctx, ms.Logger, append(steps, &run.Func{Name: "advertiser", Do: ms.advertise})...)
+	return run.All(ctx, ms.Logger, append(components, &run.Func{Name: "advertiser", Do: ms.advertise})...)
 }
 
 // Zone returns the zone of an entry instance.
 func (ms *Mesh) Zone(id string) weir.Zone { return ms.zones[id] }
 
-// Ready reports whether the link to an entry instance is up.
+// Ready reports whether the connection to an entry instance is up.
 func (ms *Mesh) Ready(id string) bool {
 	cl, ok := ms.clients[id]
 	return ok && cl.Connected()
@@ -110,7 +114,7 @@
 	return cl.Call(ctx, method, params, result)
 }
 
-// HandleAdvert takes an advert of a peer.
+// HandleAdvert records an advert of a peer.
 func (ms *Mesh) HandleAdvert(ad peerapi.Advert) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -118,14 +122,14 @@
 }
 
 // PickPeer returns the reachable peer with the most free slots for a service,
-// first in this zone, and counts one of them as used.
+// preferably in this zone, and counts one of its slots as used.
 func (ms *Mesh) PickPeer(service weir.ServiceName) (string, bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	best, bestFree, bestNear := "", 0, false
 	for id, ad := range ms.adverts {
 		free := ad.free[service]
-		if free <= 0 || ms.Clock.Now().Sub(ad.at) > advertAge || !ms.Ready(id) {
+		if free <= 0 || ms.Clock.Now().Sub(ad.at) > maxAdvertAge || !ms.Ready(id) {
 			continue
 		}
 		near := ms.zones[id] == weir.Zone(ms.Self.Zone)
@@ -140,19 +144,20 @@
 	return best, true
 }
 
-// Has reports whether any reachable peer advertises a free slot.
+// Has reports whether any reachable peer advertises a free slot for a service.
 func (ms *Mesh) Has(service weir.ServiceName) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	for id, ad := range ms.adverts {
-		if ad.free[service] > 0 && ms.Clock.Now().Sub(ad.at) <= advertAge && ms.Ready(id) {
+		if ad.free[service] > 0 && ms.Clock.Now().Sub(ad.at) <= maxAdvertAge && ms.Ready(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// Exhausted notes that a peer had no free slot after all.
+// Exhausted records that a peer has no free slot for a service until its next
+// advert.
 func (ms *Mesh) Exhausted(id string, service weir.ServiceName) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -161,20 +166,22 @@
 	}
 }
 
-// advertise tells peers of free slots when their number has changed.
+// advertise sends the number of free slots to peers, when it has changed or a
+// refresh is due.
 func (ms *Mesh) advertise(ctx context.Context) error {
-	near, far := ms.audiences()
-	return run.Every(ctx, advertEvery, func() {
+	near, far := ms.peerGroups()
+	return run.Every(ctx, advertInterval, func() {
 		now := ms.Clock.Now()
 		free := ms.Free()
-		near.tell(ctx, now, ms.Self.ID, free)
-		far.tell(ctx, now, ms.Self.ID, free)
+		near.send(ctx, now, ms.Self.ID, free)
+		far.send(ctx, now, ms.Self.ID, free)
 	})
 }
 
-// audiences returns the peers of this zone and those of other zones.
-func (ms *Mesh) audiences() (near, far *audience) {
-	near, far = &audience{}, &audience{}
+// peerGroups returns the peers of this zone and those of other zones, which
+// may get adverts less often.
+func (ms *Mesh) peerGroups() (near, far *peerGroup) {
+	near, far = &peerGroup{}, &peerGroup{}
 	for id, cl := range ms.clients {
 		if ms.zones[id] == weir.Zone(ms.Self.Zone) {
 			near.links = append(near.links, cl)
@@ -182,26 +189,27 @@
 		}
 		far.links = append(far.links, cl)
 	}
-	far.every = advertEvery * time.Duration(len(far.links)/fastPeers)
+	far.interval = advertInterval * time.Duration(len(far.links)/promptPeers)
 	return near, far
 }
 
-// audience is a set of peers that are told at the same times.
-type audience struct {
-	links  []*peer.Client
-	every  time.Duration
-	last   map[weir.ServiceName]int
-	lastAt time.Time
+// peerGroup is a set of peers that get adverts at the same times.
+type peerGroup struct {
+	links    []*peer.Client
+	interval time.Duration
+	last     map[weir.ServiceName]int
+	lastAt   time.Time
 }
 
-// tell sends an advert that has changed or is due again.
-func (au *audience) tell(ctx context.Context, now time.Time, self string, free map[weir.ServiceName]int) {
-	age := now.Sub(au.lastAt)
-	if age < au.every || (age < advertRefresh && reflect.DeepEqual(free, au.last)) {
+// send sends an advert to the group if the free slots have changed or a refresh
+// is due, at most once per interval.
+func (pg *peerGroup) send(ctx context.Context, now time.Time, self string, free map[weir.ServiceName]int) {
+	age := now.Sub(pg.lastAt)
+	if age < pg.interval || (age < advertRefreshInterval && reflect.DeepEqual(free, pg.last)) {
 		return
 	}
-	au.last, au.lastAt = maps.Clone(free), now
-	for _, cl := range au.links {
+	pg.last, pg.lastAt = maps.Clone(free), now
+	for _, cl := range pg.links {
 		_ = cl.Notify(ctx, peerapi.EntryAdvert, peerapi.Advert{Entry: self, Free: free})
 	}
 }
