--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes callers' calls from an entry instance to the process
-// that leads. All calls may be repeated: a job is known by its id.
+// Package relay forwards callers' job API calls from an entry instance to the
+// leader. All calls may be repeated, because a job is identified by its id.
 //
 // Usage:
 //
@@ -24,21 +24,23 @@
 )
 
 const (
-	// tryTimeout is how long one process may take: a commit takes some tens
-	// of milliseconds, and a link needs longer to notice silence.
+	// tryTimeout is the time limit for a call to one process. A commit takes
+	// some tens of milliseconds, and a link needs longer to detect a process
+	// that does not respond.
 	tryTimeout = 700 * time.Millisecond
-	// retryPause separates rounds over all processes.
+	// retryPause is the pause between rounds over all processes.
 	retryPause = 60 * time.Millisecond
-	// patience bounds the tries for a call that certainly had no effect: the
-	// caller is told soon, and may have more luck at another instance. A call
-	// that may have had an effect is tried for as long as the caller waits,
-	// since the caller cannot tell either.
-	patience = 700 * time.Millisecond
-	// retryAfter is told to callers while no leader can be reached.
+	// unavailableTimeout limits the retries of a call that certainly had no
+	// effect, so that the caller can soon try another instance. A call that may
+	// have had an effect is retried for as long as the caller waits, since only
+	// a response shows whether it had.
+	unavailableTimeout = 700 * time.Millisecond
+	// retryAfter is the delay after which callers may retry, sent to them while
+	// no leader can be reached.
 	retryAfter = time.Second
 )
 
-// Relay passes calls on. Set the exported fields before use.
+// Relay forwards calls. Set the exported fields before use.
 type Relay struct {
 	Links  *links.Links
 	Roster *roster.Roster
@@ -48,32 +50,33 @@
 
 // Handle implements jobapi.Handler.
 func (rl *Relay) Handle(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	// A holder without a leader answers at once; waiting is done here.
+	// With a hop counted, a replica that knows no leader responds at once. The
+	// waiting is done here.
 	call.Hops = 1
-	until := rl.Clock.Now().Add(patience)
-	open := false // whether an earlier try may have had an effect
+	until := rl.Clock.Now().Add(unavailableTimeout)
+	mayHaveRun := false // an earlier try may have had an effect
 	reason := "no process that holds the log can be reached"
 	for {
-		for _, id := range rl.order() {
+		for _, id := range rl.candidates() {
 			rep, err := rl.try(ctx, id, call)
 			switch {
 			case err == nil && rep.Outcome == jobapi.Unknown:
-				open, reason = true, rep.Reason
+				mayHaveRun, reason = true, rep.Reason
 			case err == nil && rep.Outcome == jobapi.Unavailable:
 				reason = rep.Reason
 			case err == nil:
 				rl.Roster.SetLeader(rep.Leader)
 				return rep
 			case !errkind.Is(err, peer.KindNotSent):
-				open, reason = true, err.Error()
+				mayHaveRun, reason = true, err.Error()
 				rl.Roster.SetLeader("")
 			}
 			if ctx.Err() != nil {
 				break
 			}
 		}
-		if ctx.Err() != nil || (!open && !rl.Clock.Now().Add(retryPause).Before(until)) {
-			return rl.giveUp(call, open, reason)
+		if ctx.Err() != nil || (!mayHaveRun && !rl.Clock.Now().Add(retryPause).Before(until)) {
+			return rl.giveUp(call, mayHaveRun, reason)
 		}
 		timer := time.NewTimer(retryPause)
 		select {
@@ -84,19 +87,19 @@
 	}
 }
 
-func (rl *Relay) giveUp(call jobapi.Call, open bool, reason string) jobapi.Reply {
+func (rl *Relay) giveUp(call jobapi.Call, mayHaveRun bool, reason string) jobapi.Reply {
 	rep := jobapi.Reply{Outcome: jobapi.Unavailable, Reason: reason, RetryAfter: retryAfter}
-	if open {
+	if mayHaveRun {
 		rep.Outcome = jobapi.Unknown
 	}
 	metrics.GetOrCreateCounter(`weir_relay_failures_total{outcome="` + string(rep.Outcome) + `"}`).Inc()
-	_ = rl.Logger.Log("level", "warn", "msg", "call not placed", "kind", string(call.Kind), "path", call.Path,
+	_ = rl.Logger.Log("level", "warn", "msg", "call not forwarded", "kind", string(call.Kind), "path", call.Path,
 		"outcome", string(rep.Outcome), "reason", reason)
 	return rep
 }
 
-// order lists the processes to try, the leader first.
-func (rl *Relay) order() []string {
+// candidates returns the reachable processes to try, the leader first.
+func (rl *Relay) candidates() []string {
 	leader := rl.Roster.Leader()
 	var ids []string
 	if leader != "" && rl.Links.Ready(leader) {
@@ -118,5 +121,5 @@
 	return rep, err
 }
 
-// Ready reports whether a call could be passed on now.
-func (rl *Relay) Ready() bool { return len(rl.order()) > 0 }
+// Ready reports whether any process is reachable to forward a call to.
+func (rl *Relay) Ready() bool { return len(rl.candidates()) > 0 }
