--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -1,9 +1,9 @@
-// Package report tells the leader what an entry instance knows: the view in
-// force, the state of its endpoints, consents to drains, usage and demand.
+// Package report sends the state of an entry instance to the leader: its view,
+// the status of its endpoints, drain confirmations, usage and demand.
 //
 // Usage:
 //
-//	rp := &report.Reporter{Self: "shy-1", Table: tb, Follower: fl, Clock: clk}
+//	rp := &report.Reporter{Self: "shy-1", Table: tb, Control: sb, Clock: clk}
 //	go rp.Run(ctx)
 package report
 
@@ -22,19 +22,20 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	// reportEvery is the longest time between two reports.
-	reportEvery = time.Second
-	callTimeout = 2 * time.Second
+	tickInterval = 100 * time.Millisecond
+	// reportInterval is the maximum time between two reports.
+	reportInterval = time.Second
+	callTimeout    = 2 * time.Second
 )
 
-// ControlClient reaches the leader and knows the view.
+// ControlClient calls the leader through a control process and returns the
+// current view.
 type ControlClient interface {
 	Call(ctx context.Context, method string, params, result any) error
 	View() view.View
 }
 
-// Reporter reports. Set the exported fields before Run.
+// Reporter sends reports. Set the exported fields before Default.
 type Reporter struct {
 	Self    string
 	Zone    weir.Zone
@@ -49,7 +50,7 @@
 	full     bool
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (rp *Reporter) String() string { return "reporter" }
 
 // Default makes the first report a full one.
@@ -58,9 +59,10 @@
 	return nil
 }
 
-// Run reports changes at once and everything else once a second.
+// Run reports changes within tickInterval and everything else once per
+// reportInterval.
 func (rp *Reporter) Run(ctx context.Context) error {
-	return run.Every(ctx, tickEvery, func() { rp.tick(ctx) })
+	return run.Every(ctx, tickInterval, func() { rp.tick(ctx) })
 }
 
 func (rp *Reporter) tick(ctx context.Context) {
@@ -72,7 +74,7 @@
 		Statuses: rp.Table.Sweep(rp.Self, full), Consents: rp.Table.DrainConfirmations(rp.Self), Usage: rp.Table.PendingUsage(),
 	}
 	urgent := len(rep.Statuses) > 0 || len(rep.Consents) > 0 || vw.Index != rp.lastView
-	if !urgent && now.Sub(rp.lastAt) < reportEvery {
+	if !urgent && now.Sub(rp.lastAt) < reportInterval {
 		return
 	}
 	rep.Demand = rp.Table.Demand()
