--- a/internal/contract/caller/caller.go
+++ b/internal/contract/caller/caller.go
@@ -1,10 +1,10 @@
-// Package caller is the contract with callers: headers of a request and the
-// three kinds of answer over HTTP.
+// Package caller defines the HTTP API for callers: paths, headers and the three
+// kinds of response.
 //
 // Usage:
 //
 //	POST /v1/keys                     -> {"key": "..."}
-//	POST /v1/call/<service>/<path>    with HeaderKey -> answer with HeaderOutcome
+//	POST /v1/call/<service>/<path>    with HeaderKey -> response with HeaderOutcome
 package caller
 
 import (
@@ -15,42 +15,50 @@
 
 // The headers of a request.
 const (
-	// HeaderKey makes a request idempotent; see package ledger for its form.
+	// HeaderKey is the idempotency key of a request; see ledger.Key for its
+	// format.
 	HeaderKey = "Idempotency-Key"
-	// HeaderClass is urgent (default) or deferrable.
+	// HeaderClass is the class of a request: urgent (default) or deferrable.
 	HeaderClass = "Weir-Class"
-	// HeaderTeam names the caller's team.
+	// HeaderTeam is the name of the caller's team.
 	HeaderTeam = "Weir-Team"
-	// HeaderRepeatable is true for a request that may run more than once.
+	// HeaderRepeatable is "true" for a request that may run more than once.
+	// Without the header GET and HEAD requests are repeatable.
 	HeaderRepeatable = "Weir-Repeatable"
-	// HeaderTimeout is a duration such as 800ms after which no answer is needed.
+	// HeaderTimeout is the duration, such as 800ms, after which the caller needs
+	// no response.
 	HeaderTimeout = "Weir-Timeout"
 )
 
-// The headers of an answer.
+// The headers of a response.
 const (
+	// HeaderOutcome is the weir.OutcomeKind of the response.
 	HeaderOutcome = "Weir-Outcome"
-	HeaderReason  = "Weir-Reason"
+	// HeaderReason is the reason of a response that is not complete.
+	HeaderReason = "Weir-Reason"
 )
 
-// Paths of the caller's interface.
+// The paths of the API.
 const (
+	// PathKeys returns a new idempotency key.
 	PathKeys = "/v1/keys"
+	// PathCall is followed by the service and the path for the endpoint.
 	PathCall = "/v1/call/"
 )
 
-// KeyResponse is the answer to a request for a key.
+// KeyResponse is the response to a request for a key.
 type KeyResponse struct {
 	Key string `json:"key"`
 }
 
-// OutcomeBody is the body of an answer that is not whole.
+// OutcomeBody is the body of a response that is not complete.
 type OutcomeBody struct {
 	Outcome weir.OutcomeKind `json:"outcome"`
 	Reason  string           `json:"reason"`
 }
 
-// StatusOf returns the HTTP status that carries an answer.
+// StatusOf returns the HTTP status of a response: the endpoint's own if it is
+// complete, 503 if the request did not run and 504 if that is unknown.
 func StatusOf(ans weir.Response) int {
 	switch ans.Kind {
 	case weir.Complete:
