--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -1,5 +1,5 @@
-// Package peerapi holds the methods and messages between the system's own
-// processes.
+// Package peerapi defines the RPC methods and messages between the processes of
+// the system.
 //
 // Usage:
 //
@@ -19,55 +19,66 @@
 const (
 	// RaftMessage is a notification with a replica.Message.
 	RaftMessage = "raft.message"
-	// ViewSubscribe asks for effects behind an index.
+	// ViewSubscribe subscribes to the effects after an index of the view.
 	ViewSubscribe = "view.subscribe"
-	// EntryReport carries what an entry instance knows; it reaches the leader.
+	// EntryReport sends the state of an entry instance to the leader.
 	EntryReport = "entry.report"
-	// ControlPropose carries a command to the leader.
+	// ControlPropose sends a command to the leader.
 	ControlPropose = "control.propose"
-	// ControlProcesses asks the leader for the state of the roll-out.
+	// ControlProcesses returns the entry processes that the leader knows, with
+	// the view and configuration that each has in force.
 	ControlProcesses = "control.processes"
 )
 
 // The notifications that a control process sends to subscribers.
 const (
-	ViewEffects  = "view.effects"
+	// ViewEffects carries changes of the view.
+	ViewEffects = "view.effects"
+	// ViewSnapshot carries a complete view.
 	ViewSnapshot = "view.snapshot"
 )
 
 // The methods of an entry process.
 const (
-	// EntryCall runs a request at the key's home.
+	// EntryCall runs a keyed request at an entry instance of the key's home
+	// zone.
 	EntryCall = "entry.call"
-	// EntryRun runs a request on a free slot of the entry instance, if any.
+	// EntryRun runs a request on a free slot of the entry instance, if it has
+	// one.
 	EntryRun = "entry.run"
 	// EntryAdvert is a notification of free slots.
-	EntryAdvert   = "entry.advert"
+	EntryAdvert = "entry.advert"
+	// LedgerReserve reserves a key for an attempt.
 	LedgerReserve = "ledger.reserve"
-	LedgerFinish  = "ledger.finish"
-	LedgerJoin    = "ledger.join"
-	LedgerDump    = "ledger.dump"
+	// LedgerFinish records the outcome of an attempt.
+	LedgerFinish = "ledger.finish"
+	// LedgerJoin waits for the outcome of an attempt in flight.
+	LedgerJoin = "ledger.join"
+	// LedgerDump returns a page of records.
+	LedgerDump = "ledger.dump"
 )
 
 // Subscribe is the request of ViewSubscribe.
 type Subscribe struct {
+	// Have is the index of the subscriber's view, 0 if it has none.
 	Have uint64 `json:"have"`
 }
 
-// Effects is the notification ViewEffects.
+// Effects is the content of the notification ViewEffects.
 type Effects struct {
 	List []view.Effect `json:"list"`
 }
 
-// Report is what an entry instance tells the leader.
+// Report is the state of an entry instance, the request of EntryReport.
 type Report struct {
 	Entry string    `json:"entry"`
 	Zone  weir.Zone `json:"zone"`
-	// Started tells two processes under one name apart.
+	// Started distinguishes two processes with the same id.
 	Started      time.Time `json:"started"`
 	View         uint64    `json:"view"`
 	ConfigNumber uint64    `json:"number"`
-	// Full is set when Statuses holds all instances that the entry owns.
+	// Full is set when Statuses holds all instances that are leased to the entry
+	// instance, and not only those that changed.
 	Full     bool                        `json:"full,omitempty"`
 	Statuses []command.Status            `json:"statuses,omitempty"`
 	Consents []command.DrainConfirmation `json:"consents,omitempty"`
@@ -75,8 +86,8 @@
 	Demand   []Demand                    `json:"demand,omitempty"`
 }
 
-// Demand is the load of one service at one entry instance since the last
-// report.
+// Demand is the load of one service at one entry instance at the time of the
+// report: slots in use, slots in total and waiting requests.
 type Demand struct {
 	Service weir.ServiceName `json:"service"`
 	Busy    int              `json:"busy"`
@@ -84,50 +95,58 @@
 	Waiting int              `json:"waiting"`
 }
 
-// ReportResponse is the leader's answer.
+// ReportResponse is the response of EntryReport.
 type ReportResponse struct {
-	// WantFull asks for a full report.
-	WantFull bool               `json:"wantFull,omitempty"`
-	Acked    []command.UsageAck `json:"acked,omitempty"`
+	// WantFull requests a full report.
+	WantFull bool `json:"wantFull,omitempty"`
+	// Acked holds the sequence numbers up to which usage reports are counted.
+	Acked []command.UsageAck `json:"acked,omitempty"`
 }
 
-// EntryProcess is an entry instance as the leader knows it.
+// EntryProcess is the state of an entry instance that the leader knows from its
+// reports.
 type EntryProcess struct {
 	ID           string    `json:"id"`
 	Zone         weir.Zone `json:"zone"`
 	View         uint64    `json:"view"`
 	ConfigNumber uint64    `json:"number"`
-	// Reporting is false for a process that has not reported lately.
+	// Reporting is false if the last report is too old.
 	Reporting    bool      `json:"heard"`
 	LastReportAt time.Time `json:"heardAt"`
 }
 
-// Advert tells how many slots of a service are free at an entry instance.
+// Advert is the number of free slots of each service at an entry instance.
 type Advert struct {
 	Entry string                   `json:"entry"`
 	Free  map[weir.ServiceName]int `json:"free"`
 }
 
-// Reserve asks a replica of the ledger to hold a key for an attempt.
+// Reserve is the request of LedgerReserve: it reserves a key for an attempt at
+// one replica of the ledger.
 type Reserve struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
 
-// ReserveState is a replica's answer to a reservation.
+// ReserveState is the result of a reservation at one replica.
 type ReserveState string
 
-// The answers to a reservation.
+// The results of a reservation.
 const (
-	ReserveGranted  ReserveState = "granted"
-	ReserveHeld     ReserveState = "held"
+	// ReserveGranted means that the attempt holds the key at this replica.
+	ReserveGranted ReserveState = "granted"
+	// ReserveHeld means that another attempt holds the key.
+	ReserveHeld ReserveState = "held"
+	// ReserveRecorded means that the key has a recorded outcome.
 	ReserveRecorded ReserveState = "recorded"
-	// ReserveRefused says that the replica can't tell: it recovers, is full,
-	// or the key is too old.
+	// ReserveRefused means that the replica cannot decide: it is recovering or
+	// full, or the key is not valid or out of range.
 	ReserveRefused ReserveState = "refused"
 )
 
-// ReserveResponse is a replica's answer.
+// ReserveResponse is the response of LedgerReserve. Attempt is the holder of
+// the key if that is another one, Answer the recorded outcome and Reason that of
+// a refusal.
 type ReserveResponse struct {
 	State   ReserveState   `json:"state"`
 	Attempt string         `json:"attempt,omitempty"`
@@ -135,34 +154,37 @@
 	Reason  string         `json:"reason,omitempty"`
 }
 
-// Finish records the outcome of an attempt; an outcome that did not run frees
-// the key.
+// Finish is the request of LedgerFinish. An attempt that did not run frees the
+// key.
 type Finish struct {
 	Key     string        `json:"key"`
 	Attempt string        `json:"attempt"`
 	Answer  weir.Response `json:"answer"`
 }
 
-// Join asks for the outcome of an attempt that is in flight.
+// Join is the request of LedgerJoin.
 type Join struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
 
-// Dump asks for ledger records behind a key, in order of keys.
+// Dump is the request of LedgerDump: the records after a key, in order of keys.
 type Dump struct {
 	After string `json:"after"`
 }
 
-// DumpResponse is a page of records.
+// DumpResponse is a page of records, the response of LedgerDump.
 type DumpResponse struct {
 	Records []Record `json:"records"`
-	// Floor is the stamp above which the replica remembers every grant.
+	// Floor is the time after which the replica knows every grant of a key, by
+	// the key's timestamp.
 	Floor time.Time `json:"floor"`
-	More  bool      `json:"more"`
+	// More is set if further records follow.
+	More bool `json:"more"`
 }
 
-// Record is one record of the ledger.
+// Record is the ledger's record of one key. Answer is nil while the attempt has
+// no outcome.
 type Record struct {
 	Key     string         `json:"key"`
 	Attempt string         `json:"attempt"`
