--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -34,24 +34,24 @@
 	if reason := tb.refusalReason(ann); reason != "" {
 		return endpoint.AnnounceResponse{Reason: reason, View: tb.view.Index, AnnounceMillis: AnnounceInterval.Milliseconds()}
 	}
-	wk := tb.workerFor(ann)
-	wasUp := wk.up(now)
-	wk.expires = now.Add(LeaseDuration)
-	wk.leaving = ann.State == endpoint.Leaving
-	wk.seenView = max(wk.seenView, ann.SeenView)
-	wk.reportedInFlight = ann.InFlight
-	wk.foreign = min(wk.foreign, max(0, ann.InFlight-wk.busy))
-	if wk.up(now) != wasUp {
-		tb.unreported[wk.id] = true
+	ep := tb.endpointFor(ann)
+	wasUp := ep.up(now)
+	ep.expires = now.Add(LeaseDuration)
+	ep.leaving = ann.State == endpoint.Leaving
+	ep.seenView = max(ep.seenView, ann.SeenView)
+	ep.reportedInFlight = ann.InFlight
+	ep.foreign = min(ep.foreign, max(0, ann.InFlight-ep.busy))
+	if ep.up(now) != wasUp {
+		tb.unreported[ep.id] = true
 	}
 	tb.usage.add(ann.Usage)
-	if wk.serving {
-		tb.grantWaitingFor(now, wk)
+	if ep.serving {
+		tb.grantWaitingFor(now, ep)
 	}
 	return endpoint.AnnounceResponse{
 		Granted: true, LeaseMillis: LeaseDuration.Milliseconds(), AnnounceMillis: AnnounceInterval.Milliseconds(),
 		UsageMillis: usageReportInterval(len(tb.view.Members)).Milliseconds(),
-		View:        tb.view.Index, Service: wk.service, Slots: tb.slots(), AckedUsage: tb.usage.ackedUpTo(wk.id, wk.lease.Incarnation),
+		View:        tb.view.Index, Service: ep.service, Slots: tb.slots(), AckedUsage: tb.usage.ackedUpTo(ep.id, ep.lease.Incarnation),
 	}
 }
 
@@ -65,7 +65,7 @@
 // seen a newer view than this entry instance is refused, because that view may
 // drain it.
 func (tb *Table) refusalReason(ann endpoint.Announcement) string {
-	old, known := tb.workers[ann.Instance]
+	old, known := tb.endpoints[ann.Instance]
 	switch {
 	case tb.stopping:
 		return "entry is stopping"
@@ -79,10 +79,10 @@
 	return ""
 }
 
-// workerFor returns the worker of an announcement. It creates a new one for a
-// new instance, lease or address.
-func (tb *Table) workerFor(ann endpoint.Announcement) *worker {
-	old, known := tb.workers[ann.Instance]
+// endpointFor returns the leased endpoint of an announcement. It creates a new
+// one for a new instance, lease or address.
+func (tb *Table) endpointFor(ann endpoint.Announcement) *leasedEndpoint {
+	old, known := tb.endpoints[ann.Instance]
 	if known && old.lease == ann.Lease && old.addr == ann.Address {
 		return old
 	}
@@ -90,18 +90,18 @@
 		old.conns.Close()
 		tb.detach(old)
 	}
-	wk := &worker{
+	ep := &leasedEndpoint{
 		id: ann.Instance, lease: ann.Lease, addr: ann.Address, foreign: ann.InFlight,
 		conns: httpconn.NewPool(ann.Address, max(1, tb.view.Config.Limits.ConnectionsPerInstance), tb.clk),
 	}
 	if known && old.lease.Incarnation == ann.Lease.Incarnation {
-		wk.failures, wk.ejections = old.failures, old.ejections
-		wk.ejectedAt, wk.ejectedUntil = old.ejectedAt, old.ejectedUntil
+		ep.failures, ep.ejections = old.failures, old.ejections
+		ep.ejectedAt, ep.ejectedUntil = old.ejectedAt, old.ejectedUntil
 	}
-	tb.workers[ann.Instance] = wk
-	tb.unreported[wk.id] = true
-	tb.attach(wk)
-	return wk
+	tb.endpoints[ann.Instance] = ep
+	tb.unreported[ep.id] = true
+	tb.attach(ep)
+	return ep
 }
 
 // Sweep removes expired leases and returns the status of the instances that
@@ -111,25 +111,25 @@
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
 	var list []command.Status
-	for id, wk := range tb.workers {
-		expired := !now.Before(wk.expires)
+	for id, ep := range tb.endpoints {
+		expired := !now.Before(ep.expires)
 		if expired {
 			tb.unreported[id] = true
 		}
 		if full || tb.unreported[id] {
 			list = append(list, command.Status{
-				Instance: id, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, Up: wk.up(now), Entry: entry,
+				Instance: id, Incarnation: ep.lease.Incarnation, Epoch: ep.lease.Epoch, Up: ep.up(now), Entry: entry,
 			})
 		}
-		if expired && wk.busy == 0 {
-			wk.conns.Close()
-			tb.detach(wk)
-			delete(tb.workers, id)
+		if expired && ep.busy == 0 {
+			ep.conns.Close()
+			tb.detach(ep)
+			delete(tb.endpoints, id)
 			tb.usage.forget(id)
 		}
 	}
 	clear(tb.unreported)
-	// No other event occurs when the ejection of a worker ends.
+	// No other event occurs when the ejection of an endpoint ends.
 	tb.grantAllWaiting(now)
 	return list
 }
@@ -140,7 +140,7 @@
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for _, sta := range list {
-		if _, ok := tb.workers[sta.Instance]; ok {
+		if _, ok := tb.endpoints[sta.Instance]; ok {
 			tb.unreported[sta.Instance] = true
 		}
 	}
@@ -152,15 +152,15 @@
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	var list []command.DrainConfirmation
-	for id, wk := range tb.workers {
+	for id, ep := range tb.endpoints {
 		mem := tb.view.Members[id]
-		idle := wk.busy == 0 && wk.foreign == 0 && wk.reportedInFlight == 0
-		if mem.Phase != view.Draining || !idle || wk.seenView < mem.SinceIndex {
+		idle := ep.busy == 0 && ep.foreign == 0 && ep.reportedInFlight == 0
+		if mem.Phase != view.Draining || !idle || ep.seenView < mem.SinceIndex {
 			continue
 		}
-		invariant.Check(!wk.serving, "drainedGetsNoWork", "instance", id)
+		invariant.Check(!ep.serving, "drainedGetsNoWork", "instance", id)
 		list = append(list, command.DrainConfirmation{
-			Instance: id, Entry: entry, Incarnation: wk.lease.Incarnation, Epoch: wk.lease.Epoch, View: wk.seenView,
+			Instance: id, Entry: entry, Incarnation: ep.lease.Incarnation, Epoch: ep.lease.Epoch, View: ep.seenView,
 		})
 	}
 	return list
@@ -196,9 +196,9 @@
 		if sq.waiting() > 0 {
 			continue
 		}
-		for _, wk := range sq.workers {
-			if !wk.ejected() {
-				free[name] += wk.free(now, tb.slots())
+		for _, ep := range sq.endpoints {
+			if !ep.ejected() {
+				free[name] += ep.free(now, tb.slots())
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 	defer tb.mu.Unlock()
 	list := make([]peerapi.Demand, 0, len(tb.queues))
 	for name, sq := range tb.queues {
-		list = append(list, peerapi.Demand{Service: name, Busy: sq.busy, Slots: len(sq.workers) * tb.slots(), Waiting: sq.waiting()})
+		list = append(list, peerapi.Demand{Service: name, Busy: sq.busy, Slots: len(sq.endpoints) * tb.slots(), Waiting: sq.waiting()})
 	}
 	return list
 }
@@ -235,11 +235,11 @@
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
-	list := make([]EndpointState, 0, len(tb.workers))
-	for _, wk := range tb.workers {
+	list := make([]EndpointState, 0, len(tb.endpoints))
+	for _, ep := range tb.endpoints {
 		list = append(list, EndpointState{
-			Instance: wk.id, Address: wk.addr, Lease: wk.lease, Service: wk.service, Serving: wk.serving,
-			Up: wk.up(now), Busy: wk.busy, Foreign: wk.foreign, Ejected: wk.ejected(),
+			Instance: ep.id, Address: ep.addr, Lease: ep.lease, Service: ep.service, Serving: ep.serving,
+			Up: ep.up(now), Busy: ep.busy, Foreign: ep.foreign, Ejected: ep.ejected(),
 		})
 	}
 	return list
--- a/internal/entry/placement/worker.go
+++ b/internal/entry/placement/endpoint.go
@@ -20,8 +20,9 @@
 	maxProbeWait = 30 * time.Second
 )
 
-// worker is an endpoint that is leased to this entry instance.
-type worker struct {
+// leasedEndpoint is the state of an endpoint that is leased to this entry
+// instance.
+type leasedEndpoint struct {
 	id       weir.InstanceID
 	lease    endpoint.Lease
 	addr     string
@@ -47,33 +48,33 @@
 	probing      bool
 }
 
-// up reports whether the worker counts as available in reports to the leader.
-func (wk *worker) up(now time.Time) bool {
-	return now.Before(wk.expires) && !wk.leaving && !wk.ejected()
+// up reports whether the endpoint counts as available in reports to the leader.
+func (ep *leasedEndpoint) up(now time.Time) bool {
+	return now.Before(ep.expires) && !ep.leaving && !ep.ejected()
 }
 
-func (wk *worker) ejected() bool { return !wk.ejectedUntil.IsZero() }
+func (ep *leasedEndpoint) ejected() bool { return !ep.ejectedUntil.IsZero() }
 
-// free returns the number of free slots of the worker: none if it is not
-// serving, is leaving or its lease has expired.
-func (wk *worker) free(now time.Time, slots int) int {
-	if !wk.serving || wk.leaving || !now.Before(wk.expires) {
+// free returns the number of free slots of the endpoint: none if the view gives
+// it no work, it is leaving or its lease has expired.
+func (ep *leasedEndpoint) free(now time.Time, slots int) int {
+	if !ep.serving || ep.leaving || !now.Before(ep.expires) {
 		return 0
 	}
-	return max(0, slots-wk.busy-wk.foreign)
+	return max(0, slots-ep.busy-ep.foreign)
 }
 
-// accepts reports whether the worker may be given a request. An ejected worker
+// accepts reports whether the endpoint may be given a request. An ejected one
 // is probed with one request at a time once the ejection is over: a repeatable
-// one, or after maxProbeWait any.
-func (wk *worker) accepts(now time.Time, repeatable bool) bool {
-	if !wk.ejected() {
+// request, or after maxProbeWait any.
+func (ep *leasedEndpoint) accepts(now time.Time, repeatable bool) bool {
+	if !ep.ejected() {
 		return true
 	}
-	if now.Before(wk.ejectedUntil) || wk.probing {
+	if now.Before(ep.ejectedUntil) || ep.probing {
 		return false
 	}
-	return repeatable || now.Sub(wk.ejectedAt) > maxProbeWait
+	return repeatable || now.Sub(ep.ejectedAt) > maxProbeWait
 }
 
 // Result is the outcome of a request on a slot, as it counts for the endpoint.
@@ -90,26 +91,26 @@
 	Abandoned
 )
 
-// recordResult counts a result and reports whether the worker should be
+// recordResult counts a result and reports whether the endpoint should be
 // ejected.
-func (wk *worker) recordResult(res Result) bool {
-	wk.probing = false
+func (ep *leasedEndpoint) recordResult(res Result) bool {
+	ep.probing = false
 	switch res {
 	case Succeeded:
-		wk.failures = 0
-		wk.ejections = 0
-		wk.ejectedUntil = time.Time{}
+		ep.failures = 0
+		ep.ejections = 0
+		ep.ejectedUntil = time.Time{}
 	case Failed:
-		wk.failures++
-		return wk.ejected() || wk.failures >= failuresToEject
+		ep.failures++
+		return ep.ejected() || ep.failures >= failuresToEject
 	case Abandoned:
 	}
 	return false
 }
 
-func (wk *worker) eject(now time.Time) {
-	pause := min(minEjection<<min(wk.ejections, 8), maxEjection)
-	wk.ejections++
-	wk.ejectedAt = now
-	wk.ejectedUntil = now.Add(pause)
+func (ep *leasedEndpoint) eject(now time.Time) {
+	pause := min(minEjection<<min(ep.ejections, 8), maxEjection)
+	ep.ejections++
+	ep.ejectedAt = now
+	ep.ejectedUntil = now.Add(pause)
 }
--- a/internal/entry/placement/queue.go
+++ b/internal/entry/placement/queue.go
@@ -9,7 +9,9 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	req     *weir.Request
+	req *weir.Request
+	// granted receives the slot. It is closed without one if the request would
+	// end after its deadline.
 	granted chan *Slot
 	elem    *list.Element
 	queue   *classQueue
@@ -53,7 +55,7 @@
 // pick returns the next waiter that fits, round robin over the teams, without
 // removing it. Waiters whose request would end after its deadline are dropped:
 // nobody would use the response, and another request could use the slot.
-func (cq *classQueue) pick(ends time.Time, fits func(wt *waiter) bool) *waiter {
+func (cq *classQueue) pick(expectedEnd time.Time, fits func(wt *waiter) bool) *waiter {
 	for range cq.order {
 		if cq.next >= len(cq.order) {
 			cq.next = 0
@@ -62,7 +64,7 @@
 		cq.next++
 		for front := queue.Front(); front != nil; front = queue.Front() {
 			wt := front.Value.(*waiter) // only waiters are pushed
-			if ends.Before(wt.req.Deadline) {
+			if expectedEnd.Before(wt.req.Deadline) {
 				break
 			}
 			cq.remove(wt)
@@ -94,8 +96,8 @@
 	cq.next = 0
 }
 
-// serviceQueue holds the workers of one service, its waiters and the use of its
-// slots.
+// serviceQueue holds the endpoints of one service, its waiters and the use of
+// its slots.
 type serviceQueue struct {
 	service    weir.ServiceName
 	urgent     *classQueue
@@ -107,7 +109,7 @@
 	// meanHoldSeconds is the moving average of the time that a request holds
 	// its slot.
 	meanHoldSeconds float64
-	workers         []*worker
+	endpoints       []*leasedEndpoint
 }
 
 func newServiceQueue(service weir.ServiceName) *serviceQueue {
@@ -141,8 +143,8 @@
 
 // expectedResponseTime estimates the time until a new waiter of the class has
 // its response. The parameter slots is the number of slots of the service's own
-// workers. If the service holds more, including borrowed ones, that number
-// counts instead, since the queue advances with all of them.
+// endpoints. If the service holds more, with borrowed ones, the number that it
+// holds is used instead, since the queue advances with all of them.
 func (sq *serviceQueue) expectedResponseTime(class weir.Class, slots int) time.Duration {
 	slots = max(slots, sq.busy)
 	if slots == 0 {
--- a/internal/entry/placement/spare.go
+++ b/internal/entry/placement/spare.go
@@ -12,17 +12,17 @@
 // reserved for the pool's own service.
 const spareReserve = 10
 
-// borrow returns a worker of a spare pool for a request of another service.
+// borrow returns an endpoint of a spare pool for a request of another service.
 // Load peaks last seconds, which is too short to move an instance to another
 // pool, whereas a borrowed slot is available at once. A spare pool lends
 // nothing while requests of its own service wait.
-func (tb *Table) borrow(now time.Time, service weir.ServiceName, repeatable bool) *worker {
+func (tb *Table) borrow(now time.Time, service weir.ServiceName, repeatable bool) *leasedEndpoint {
 	for _, sq := range tb.spares {
 		if sq.service == service || sq.waiting() > 0 || tb.lendable(now, sq) <= 0 {
 			continue
 		}
-		if wk := tb.choose(now, sq, repeatable); wk != nil {
-			return wk
+		if ep := tb.choose(now, sq, repeatable); ep != nil {
+			return ep
 		}
 	}
 	return nil
@@ -32,10 +32,10 @@
 // may use.
 func (tb *Table) lendable(now time.Time, sq *serviceQueue) int {
 	free, total := 0, 0
-	for _, wk := range sq.workers {
+	for _, ep := range sq.endpoints {
 		total += tb.slots()
-		if !wk.ejected() {
-			free += wk.free(now, tb.slots())
+		if !ep.ejected() {
+			free += ep.free(now, tb.slots())
 		}
 	}
 	return free - total*spareReserve/100
@@ -52,10 +52,10 @@
 	slices.SortFunc(tb.spares, func(a, b *serviceQueue) int { return strings.Compare(string(a.service), string(b.service)) })
 }
 
-// grantWaitingFor grants a slot that has become free on a worker to a waiter of
-// its service, or of any service if the worker is in a spare pool.
-func (tb *Table) grantWaitingFor(now time.Time, wk *worker) {
-	own := tb.queue(wk.service)
+// grantWaitingFor grants a slot that has become free on an endpoint to a waiter
+// of its service, or of any service if the endpoint is in a spare pool.
+func (tb *Table) grantWaitingFor(now time.Time, ep *leasedEndpoint) {
+	own := tb.queue(ep.service)
 	tb.grantWaiting(now, own)
 	for _, spare := range tb.spares {
 		if spare == own {
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -50,10 +50,11 @@
 	clk  weir.Clock
 	zone weir.Zone
 
-	mu         sync.Mutex
-	view       view.View
-	workers    map[weir.InstanceID]*worker
-	queues     map[weir.ServiceName]*serviceQueue
+	mu        sync.Mutex
+	view      view.View
+	endpoints map[weir.InstanceID]*leasedEndpoint
+	queues    map[weir.ServiceName]*serviceQueue
+	// unreported marks instances whose status changed since the last Sweep.
 	unreported map[weir.InstanceID]bool
 	usage      usageBuffer
 	stopping   bool
@@ -64,7 +65,7 @@
 // New returns an empty table of an entry instance in a zone.
 func New(clk weir.Clock, zone weir.Zone) *Table {
 	return &Table{
-		clk: clk, zone: zone, workers: map[weir.InstanceID]*worker{}, queues: map[weir.ServiceName]*serviceQueue{},
+		clk: clk, zone: zone, endpoints: map[weir.InstanceID]*leasedEndpoint{}, queues: map[weir.ServiceName]*serviceQueue{},
 		unreported: map[weir.InstanceID]bool{}, usage: newUsageBuffer(),
 	}
 }
@@ -76,7 +77,7 @@
 	Conns    *httpconn.Pool
 
 	tb    *Table
-	wk    *worker
+	ep    *leasedEndpoint
 	queue *serviceQueue
 	req   *weir.Request
 	since time.Time
@@ -102,35 +103,35 @@
 	tb.regroup()
 }
 
-// regroup assigns each worker to the queue of its service in the current view.
+// regroup assigns each endpoint to the queue of its service in the current view.
 func (tb *Table) regroup() {
 	for _, sq := range tb.queues {
-		sq.workers = sq.workers[:0]
+		sq.endpoints = sq.endpoints[:0]
 	}
-	for _, wk := range tb.workers {
-		tb.attach(wk)
+	for _, ep := range tb.endpoints {
+		tb.attach(ep)
 	}
 	tb.findSpares()
 	tb.grantAllWaiting(tb.clk.Now())
 }
 
-// attach adds a worker to the queue of its service in the current view.
-func (tb *Table) attach(wk *worker) {
-	wk.service, wk.serving = tb.view.Serves(wk.id)
-	if wk.serving {
-		sq := tb.queue(wk.service)
-		sq.workers = append(sq.workers, wk)
+// attach adds an endpoint to the queue of its service in the current view.
+func (tb *Table) attach(ep *leasedEndpoint) {
+	ep.service, ep.serving = tb.view.Serves(ep.id)
+	if ep.serving {
+		sq := tb.queue(ep.service)
+		sq.endpoints = append(sq.endpoints, ep)
 	}
 }
 
-// detach removes a worker from the queue of its service.
-func (tb *Table) detach(wk *worker) {
-	if !wk.serving {
+// detach removes an endpoint from the queue of its service.
+func (tb *Table) detach(ep *leasedEndpoint) {
+	if !ep.serving {
 		return
 	}
-	sq := tb.queue(wk.service)
-	sq.workers = slices.DeleteFunc(sq.workers, func(other *worker) bool { return other == wk })
-	wk.serving = false
+	sq := tb.queue(ep.service)
+	sq.endpoints = slices.DeleteFunc(sq.endpoints, func(other *leasedEndpoint) bool { return other == ep })
+	ep.serving = false
 }
 
 func (tb *Table) queue(service weir.ServiceName) *serviceQueue {
@@ -170,14 +171,14 @@
 	if sq.forClass(req.Class).count > 0 || (req.Class == weir.Deferrable && sq.urgent.count > 0) {
 		return nil, &Error{Op: "place", Kind: KindNoSlot}
 	}
-	wk := tb.choose(now, sq, req.Repeatable)
-	if wk == nil {
-		wk = tb.borrow(now, req.Service, req.Repeatable)
+	ep := tb.choose(now, sq, req.Repeatable)
+	if ep == nil {
+		ep = tb.borrow(now, req.Service, req.Repeatable)
 	}
-	if wk == nil {
+	if ep == nil {
 		return nil, &Error{Op: "place", Kind: KindNoSlot}
 	}
-	return tb.grant(now, sq, wk, req), nil
+	return tb.grant(now, sq, ep, req), nil
 }
 
 // Acquire waits for a slot until the request's deadline or the end of the
@@ -230,7 +231,7 @@
 	if cq.count >= svc.QueueLength {
 		return nil, nil, &Error{Op: "place", Kind: KindQueueFull}
 	}
-	if now.Add(sq.expectedResponseTime(req.Class, len(sq.workers)*tb.slots())).After(req.Deadline) {
+	if now.Add(sq.expectedResponseTime(req.Class, len(sq.endpoints)*tb.slots())).After(req.Deadline) {
 		return nil, nil, &Error{Op: "place", Kind: KindWouldMissDeadline}
 	}
 	wt := &waiter{req: req, granted: make(chan *Slot, 1)}
@@ -254,39 +255,40 @@
 	return nil, &Error{Op: "place", Kind: kind}
 }
 
-// choose returns the worker with the most free slots that accepts the request.
-// Ties go to the lowest instance id, which keeps the choice deterministic.
-func (tb *Table) choose(now time.Time, sq *serviceQueue, repeatable bool) *worker {
-	var best *worker
+// choose returns the endpoint with the most free slots that accepts the
+// request. Ties go to the lowest instance id, which keeps the choice
+// deterministic.
+func (tb *Table) choose(now time.Time, sq *serviceQueue, repeatable bool) *leasedEndpoint {
+	var best *leasedEndpoint
 	bestFree := 0
-	for _, wk := range sq.workers {
-		free := wk.free(now, tb.slots())
-		better := free > bestFree || (free == bestFree && best != nil && wk.id < best.id)
-		if better && wk.accepts(now, repeatable) {
-			best, bestFree = wk, free
+	for _, ep := range sq.endpoints {
+		free := ep.free(now, tb.slots())
+		better := free > bestFree || (free == bestFree && best != nil && ep.id < best.id)
+		if better && ep.accepts(now, repeatable) {
+			best, bestFree = ep, free
 		}
 	}
 	return best
 }
 
-func (tb *Table) grant(now time.Time, sq *serviceQueue, wk *worker, req *weir.Request) *Slot {
-	wk.busy++
-	wk.probing = wk.ejected()
+func (tb *Table) grant(now time.Time, sq *serviceQueue, ep *leasedEndpoint, req *weir.Request) *Slot {
+	ep.busy++
+	ep.probing = ep.ejected()
 	sq.busy++
 	sq.teamBusy[req.Team]++
 	if req.Class == weir.Deferrable {
 		sq.deferrableBusy++
 	}
-	invariant.Check(wk.busy+wk.foreign <= tb.slots(), "slotsWithinLimit", "instance", wk.id, "busy", wk.busy)
-	return &Slot{Instance: wk.id, Lease: wk.lease, Conns: wk.conns, tb: tb, wk: wk, queue: sq, req: req, since: now}
+	invariant.Check(ep.busy+ep.foreign <= tb.slots(), "slotsWithinLimit", "instance", ep.id, "busy", ep.busy)
+	return &Slot{Instance: ep.id, Lease: ep.lease, Conns: ep.conns, tb: tb, ep: ep, queue: sq, req: req, since: now}
 }
 
 func (tb *Table) release(sl *Slot, res Result) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	now := tb.clk.Now()
-	wk, sq := sl.wk, sl.queue
-	wk.busy--
+	ep, sq := sl.ep, sl.queue
+	ep.busy--
 	sq.busy--
 	if sq.teamBusy[sl.req.Team]--; sq.teamBusy[sl.req.Team] <= 0 {
 		delete(sq.teamBusy, sl.req.Team)
@@ -294,49 +296,49 @@
 	if sl.req.Class == weir.Deferrable {
 		sq.deferrableBusy--
 	}
-	invariant.Check(wk.busy >= 0 && sq.busy >= 0, "slotsNotNegative", "instance", wk.id)
+	invariant.Check(ep.busy >= 0 && sq.busy >= 0, "slotsNotNegative", "instance", ep.id)
 	sq.recordHold(now.Sub(sl.since))
-	wasUp := wk.up(now)
-	if wk.recordResult(res) && tb.mayEject(sq, wk) {
-		wk.eject(now)
+	wasUp := ep.up(now)
+	if ep.recordResult(res) && tb.mayEject(sq, ep) {
+		ep.eject(now)
 	}
-	if wk.up(now) != wasUp {
-		tb.unreported[wk.id] = true
+	if ep.up(now) != wasUp {
+		tb.unreported[ep.id] = true
 	}
-	tb.grantWaitingFor(now, wk)
+	tb.grantWaitingFor(now, ep)
 }
 
-// mayEject limits the ejected workers to half of those of a service, so that a
-// common cause of failures cannot take a whole pool out of service.
-func (tb *Table) mayEject(sq *serviceQueue, wk *worker) bool {
-	if wk.ejected() {
+// mayEject limits the ejected endpoints to half of those of a service, so that
+// failures with a common cause cannot take a whole pool out of service.
+func (tb *Table) mayEject(sq *serviceQueue, ep *leasedEndpoint) bool {
+	if ep.ejected() {
 		return true
 	}
 	ejected := 0
-	for _, other := range sq.workers {
+	for _, other := range sq.endpoints {
 		if other.ejected() {
 			ejected++
 		}
 	}
-	return 2*(ejected+1) <= len(sq.workers)
+	return 2*(ejected+1) <= len(sq.endpoints)
 }
 
 // grantWaiting grants free slots to the waiters of a service.
 func (tb *Table) grantWaiting(now time.Time, sq *serviceQueue) {
 	for sq.waiting() > 0 {
-		wt, wk := tb.nextAssignment(now, sq)
+		wt, ep := tb.nextAssignment(now, sq)
 		if wt == nil {
 			return
 		}
 		wt.queue.remove(wt)
-		wt.granted <- tb.grant(now, sq, wk, wt.req)
+		wt.granted <- tb.grant(now, sq, ep, wt.req)
 	}
 }
 
-// nextAssignment returns the next waiter and a worker for it. Urgent requests
-// go first unless deferrable ones hold less than their share of the busy
-// slots.
-func (tb *Table) nextAssignment(now time.Time, sq *serviceQueue) (*waiter, *worker) {
+// nextAssignment returns the next waiter and an endpoint for it. Urgent
+// requests go first unless deferrable ones hold less than their share of the
+// busy slots.
+func (tb *Table) nextAssignment(now time.Time, sq *serviceQueue) (*waiter, *leasedEndpoint) {
 	service := sq.service
 	plain := tb.choose(now, sq, false)
 	if plain == nil {
