--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -37,8 +37,8 @@
 // three, first those of the zone itself, then those of the zones that follow
 // by name. The result depends only on the settings, not on which instances are
 // reachable.
-func Replicas(sites []EntryInstance, zone weir.Zone) []string {
-	sorted := append([]EntryInstance{}, sites...)
+func Replicas(entries []EntryInstance, zone weir.Zone) []string {
+	sorted := append([]EntryInstance{}, entries...)
 	sort.Slice(sorted, func(a, b int) bool {
 		if sorted[a].Zone != sorted[b].Zone {
 			return precedes(sorted[a].Zone, zone, sorted[b].Zone)
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -124,10 +124,10 @@
 }
 
 func TestReplicasDependOnSettingsOnly(t *testing.T) {
-	sites := []EntryInstance{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
-	require.Equal(t, []string{"a1", "a2", "b1"}, Replicas(sites, "a"))
-	require.Equal(t, []string{"b1", "b2", "c1"}, Replicas(sites, "b"))
-	require.Equal(t, []string{"c1", "a1", "a2"}, Replicas(sites, "c"))
+	entries := []EntryInstance{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}}
+	require.Equal(t, []string{"a1", "a2", "b1"}, Replicas(entries, "a"))
+	require.Equal(t, []string{"b1", "b2", "c1"}, Replicas(entries, "b"))
+	require.Equal(t, []string{"c1", "a1", "a2"}, Replicas(entries, "c"))
 }
 
 func TestStoreReserveAndFinish(t *testing.T) {
@@ -153,11 +153,11 @@
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
 	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State)
-	whole := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
-	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: whole})
+	complete := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
+	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: complete})
 	recorded := st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
-	require.Equal(t, &whole, recorded.Answer)
+	require.Equal(t, &complete, recorded.Answer)
 	clk.Advance(3 * time.Minute)
 	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).Reason, "past retention")
 	require.Zero(t, st.Stats().Keys)
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -4,8 +4,8 @@
 // Usage:
 //
 //	ms := &mesh.Mesh{Self: self, Peers: peers, Token: token, Clock: clk}
-//	err := ms.Call(ctx, "shy-2", peerapi.LedgerReserve, params, &answer)
-//	entry, ok := ms.Pick("north-desk")
+//	err := ms.Call(ctx, "shy-2", peerapi.LedgerReserve, params, &resp)
+//	entry, ok := ms.PickPeer("north-desk")
 package mesh
 
 import (
--- a/internal/entry/viewsync/subscriber.go
+++ b/internal/entry/viewsync/subscriber.go
@@ -9,7 +9,7 @@
 //
 //	sb := &viewsync.Subscriber{Controls: addrs, Token: token, Self: self, OnView: tb.SetView}
 //	go sb.Run(ctx)
-//	err := sb.Call(ctx, peerapi.EntryReport, report, &answer)
+//	err := sb.Call(ctx, peerapi.EntryReport, report, &resp)
 package viewsync
 
 import (
