--- a/internal/capacity/balance/balance.go
+++ b/internal/capacity/balance/balance.go
@@ -1,15 +1,15 @@
 // Package balance decides which machines move between pools. It is a pure
-// function of what each pool needs and where the machines are.
+// function of the demand of each pool and the pools of the machines.
 //
-// The load it answers: queues whose demand rises by turns, for some seconds,
-// to several times what their pool holds, while the other pools are nearly
-// idle; machines that are idle cost as much as busy ones, unless they stand in
-// a standby pool.
+// It is designed for queues whose demand peaks one after the other, for some
+// seconds, at several times the capacity of their pool, while the other pools are
+// nearly idle. Idle machines cost as much as busy ones unless they are in a standby
+// pool.
 //
 // Usage:
 //
-//	need := balance.Need(load)             // machines that a pool wants now
-//	pl := balance.Decide(pools, machines)  // pl.Moves to order, pl.Leaving to keep free
+//	need := balance.MachinesNeeded(load)    // machines that a pool needs now
+//	dec := balance.Decide(pools, machines)  // dec.Moves to order, dec.Draining to keep free of new tasks
 package balance
 
 import (
@@ -20,73 +20,78 @@
 	weir "greengageweir"
 )
 
-// Load is what a pool's queues ask for, in thousandths of a core.
+// Load is the load of a pool's queues, in thousandths of a core.
 type Load struct {
-	// Lasting and Busy are taken by lasting tasks and by others.
-	Lasting int
-	Busy    int
-	// Waiting is what tasks that could start now still lack.
+	// LongRunning is used by long-running tasks, Busy by other running tasks.
+	LongRunning int
+	Busy        int
+	// Waiting is requested by tasks that are ready but not running.
 	Waiting int
-	// Rate is the work that arrived lately, in thousandths of a core: the work
-	// of the jobs of the last Window, divided by it.
-	Rate int
-	// PerMachine is what one machine holds.
-	PerMachine int
-	// Spread is the number of machines that lasting tasks need so as not to
-	// share one.
-	Spread int
+	// ArrivalRate is the estimated work of the jobs that arrived within the last
+	// ArrivalWindow, divided by the window, in thousandths of a core.
+	ArrivalRate int
+	// MachineCapacity is the capacity of one machine.
+	MachineCapacity int
+	// MinMachines is the number of machines over which long-running tasks must be
+	// spread.
+	MinMachines int
 }
 
 const (
-	// Window is how far back arriving work is counted: long enough for some
-	// jobs of a rising queue, short against the time that a move takes.
-	Window = 400 * time.Millisecond
-	// Hold is how long a pool keeps what it needed last before machines stand
-	// by. Two moves cost about as much as a machine for two to three seconds.
-	Hold = 2 * time.Second
-	// LendHold is the same for machines that another pool needs now: long
+	// ArrivalWindow is the period over which arriving work is counted. It covers
+	// several jobs of a rising queue and is short compared with the time of a
+	// move.
+	ArrivalWindow = 400 * time.Millisecond
+	// ReleaseHold is how long a pool keeps machines that it no longer needs before
+	// they move to a standby pool. Two moves cost about as much as running a
+	// machine for two to three seconds.
+	ReleaseHold = 2 * time.Second
+	// LendHold is the same for machines that another pool needs now. It is long
 	// enough to bridge the gap between two jobs.
 	LendHold = 500 * time.Millisecond
-	// spread is added to the machines that lasting tasks need, for one that is
-	// lost or under maintenance.
-	spareSpread = 0
-	// headroom is added to the load, as tasks do not fill machines evenly.
+	// spareMachines is added to the machines that long-running tasks need, for
+	// machines that are lost or under maintenance.
+	spareMachines = 0
+	// headroom is the factor on the load of tasks that are not long-running, since
+	// tasks do not fill machines evenly.
 	headroom = 1.15
 )
 
-// Need returns how many machines a pool wants.
-func Need(ld Load) int {
+// MachinesNeeded returns how many machines a pool with the given load needs.
+func MachinesNeeded(ld Load) int {
 	floor := 1
-	if ld.Spread > 0 {
-		floor = ld.Spread + spareSpread
+	if ld.MinMachines > 0 {
+		floor = ld.MinMachines + spareMachines
 	}
-	if ld.PerMachine <= 0 {
+	if ld.MachineCapacity <= 0 {
 		return floor
 	}
-	load := float64(ld.Lasting) + headroom*float64(max(ld.Busy+ld.Waiting, ld.Rate))
-	return max(floor, int((load+float64(ld.PerMachine)-1)/float64(ld.PerMachine)))
+	load := float64(ld.LongRunning) + headroom*float64(max(ld.Busy+ld.Waiting, ld.ArrivalRate))
+	return max(floor, int((load+float64(ld.MachineCapacity)-1)/float64(ld.MachineCapacity)))
 }
 
-// Pool is what a pool wants.
+// Pool is the demand of a pool for machines.
 type Pool struct {
 	Name    weir.PoolName
 	Standby bool
-	// Want is the number of machines that it needs now; Lend and Keep are the
-	// most that it needed within LendHold and Hold.
-	Want int
-	Lend int
-	Keep int
+	// Desired is the number of machines that the pool needs now. LendFloor and
+	// ReleaseFloor are the maximum that it needed within LendHold and ReleaseHold:
+	// it lends machines to other pools, or releases them to a standby pool, only
+	// beyond that number.
+	Desired      int
+	LendFloor    int
+	ReleaseFloor int
 }
 
-// Machine is where a machine is.
+// Machine is a machine with its pool and load.
 type Machine struct {
 	Name string
 	Pool weir.PoolName
-	// Free says that it may be ordered about: it is up, its platform does
-	// nothing with it, and no lasting task runs there.
-	Free bool
-	// Work counts the runs that would be lost with it.
-	Work int
+	// Movable is set if the machine may be ordered to move: it is up, no
+	// operation is pending for it, and it runs no long-running task.
+	Movable bool
+	// Runs counts the runs that would be lost by a move.
+	Runs int
 }
 
 // Move sends a machine to another pool.
@@ -95,11 +100,12 @@
 	To      weir.PoolName
 }
 
-// Decision is what should happen now.
+// Decision is the result of Decide.
 type Decision struct {
 	Moves []Move
-	// Leaving machines should get no new tasks, as they go once they are idle.
-	Leaving []string
+	// Draining lists machines that should get no new tasks, since they will move
+	// once they are idle.
+	Draining []string
 }
 
 type balancer struct {
@@ -108,9 +114,10 @@
 	decision Decision
 }
 
-// Decide moves idle machines to the pools that lack some: first those of the
-// pool with most to spare, then those that stand by, as the former would cost
-// a move of their own. What no pool needs goes to a standby pool.
+// Decide moves idle machines to the pools that lack machines. It takes them from
+// the pool with the largest surplus first and from standby pools last, since a
+// surplus machine would otherwise cost a separate move to standby. Machines that
+// no pool needs move to a standby pool.
 func Decide(pools []Pool, machines []Machine) Decision {
 	ba := &balancer{pools: slices.Clone(pools), byPool: map[weir.PoolName][]Machine{}}
 	for _, mc := range machines {
@@ -118,12 +125,12 @@
 	}
 	for _, list := range ba.byPool {
 		slices.SortFunc(list, func(one, other Machine) int {
-			return cmp.Or(cmp.Compare(one.Work, other.Work), cmp.Compare(one.Name, other.Name))
+			return cmp.Or(cmp.Compare(one.Runs, other.Runs), cmp.Compare(one.Name, other.Name))
 		})
 	}
 	lack := 0
 	for {
-		needy, short := ba.mostNeedy()
+		needy, short := ba.largestShortage()
 		if needy < 0 {
 			break
 		}
@@ -132,29 +139,30 @@
 			break
 		}
 	}
-	ba.clear(lack)
-	ba.release()
+	ba.drainDonors(lack)
+	ba.releaseSurplus()
 	return ba.decision
 }
 
-// mostNeedy returns the pool that lacks most machines, -1 where none does.
-func (ba *balancer) mostNeedy() (best, lack int) {
+// largestShortage returns the index of the pool that lacks most machines and how
+// many it lacks, -1 if no pool lacks any.
+func (ba *balancer) largestShortage() (best, lack int) {
 	best = -1
 	for ix, po := range ba.pools {
-		if short := po.Want - len(ba.byPool[po.Name]); !po.Standby && short > lack {
+		if short := po.Desired - len(ba.byPool[po.Name]); !po.Standby && short > lack {
 			best, lack = ix, short
 		}
 	}
 	return best, lack
 }
 
-// clear keeps machines of pools with some to spare free of new tasks, so that
-// they can go to a pool that lacks them once they are idle.
-func (ba *balancer) clear(lack int) {
+// drainDonors drains up to lack busy machines of pools with a surplus, so that
+// they can move to a pool that lacks machines once they are idle.
+func (ba *balancer) drainDonors(lack int) {
 	for lack > 0 {
 		donor, most := -1, 0
 		for ix, po := range ba.pools {
-			if spare := len(ba.byPool[po.Name]) - po.Lend; spare > most && ba.busy(po.Name) >= 0 {
+			if spare := len(ba.byPool[po.Name]) - po.LendFloor; spare > most && ba.leastBusyMovable(po.Name) >= 0 {
 				donor, most = ix, spare
 			}
 		}
@@ -162,28 +170,30 @@
 			return
 		}
 		pool := ba.pools[donor].Name
-		at := ba.busy(pool)
-		ba.decision.Leaving = append(ba.decision.Leaving, ba.byPool[pool][at].Name)
+		at := ba.leastBusyMovable(pool)
+		ba.decision.Draining = append(ba.decision.Draining, ba.byPool[pool][at].Name)
 		ba.byPool[pool] = slices.Delete(ba.byPool[pool], at, at+1)
 		lack--
 	}
 }
 
-// busy returns the least busy machine of a pool that could go, or -1.
-func (ba *balancer) busy(pool weir.PoolName) int {
-	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Free && mc.Work > 0 })
+// leastBusyMovable returns the index of the busy machine of a pool with the fewest
+// runs that may move, or -1.
+func (ba *balancer) leastBusyMovable(pool weir.PoolName) int {
+	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs > 0 })
 }
 
-// supply sends one machine to a pool; it reports false where none can go.
+// supply moves one idle machine to a pool; it reports false if no pool can lend
+// one.
 func (ba *balancer) supply(to weir.PoolName) bool {
 	donor, most := -1, 0
 	for ix, po := range ba.pools {
-		if po.Name == to || ba.idle(po.Name) < 0 {
+		if po.Name == to || ba.idleMovable(po.Name) < 0 {
 			continue
 		}
-		spare := len(ba.byPool[po.Name]) - po.Lend
+		spare := len(ba.byPool[po.Name]) - po.LendFloor
 		if po.Standby {
-			spare = min(spare, 1) // after all others
+			spare = min(spare, 1) // donates after all other pools
 		}
 		if spare > most {
 			donor, most = ix, spare
@@ -192,27 +202,28 @@
 	if donor < 0 {
 		return false
 	}
-	ba.move(ba.pools[donor].Name, ba.idle(ba.pools[donor].Name), to)
+	ba.move(ba.pools[donor].Name, ba.idleMovable(ba.pools[donor].Name), to)
 	return true
 }
 
-// idle returns a machine of a pool that loses nothing by going, or -1.
-func (ba *balancer) idle(pool weir.PoolName) int {
-	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Free && mc.Work == 0 })
+// idleMovable returns the index of a machine of a pool that may move and runs
+// nothing, or -1.
+func (ba *balancer) idleMovable(pool weir.PoolName) int {
+	return slices.IndexFunc(ba.byPool[pool], func(mc Machine) bool { return mc.Movable && mc.Runs == 0 })
 }
 
 func (ba *balancer) move(from weir.PoolName, at int, to weir.PoolName) {
 	mc := ba.byPool[from][at]
 	ba.byPool[from] = slices.Delete(ba.byPool[from], at, at+1)
-	// On its way it counts for the pool, but cannot be sent on.
-	mc.Free = false
+	// A moving machine counts for its new pool, but cannot move again.
+	mc.Movable = false
 	ba.byPool[to] = append(ba.byPool[to], mc)
 	ba.decision.Moves = append(ba.decision.Moves, Move{Machine: mc.Name, To: to})
 }
 
-// release sends what pools do not need to a standby pool, or keeps it free
-// until it can go.
-func (ba *balancer) release() {
+// releaseSurplus moves idle machines that pools no longer need to a standby pool
+// and drains busy ones.
+func (ba *balancer) releaseSurplus() {
 	at := slices.IndexFunc(ba.pools, func(po Pool) bool { return po.Standby })
 	if at < 0 {
 		return
@@ -222,17 +233,17 @@
 		if po.Standby {
 			continue
 		}
-		surplus := len(ba.byPool[po.Name]) - po.Keep
+		surplus := len(ba.byPool[po.Name]) - po.ReleaseFloor
 		for _, mc := range slices.Clone(ba.byPool[po.Name]) {
 			if surplus <= 0 {
 				break
 			}
-			if !mc.Free {
+			if !mc.Movable {
 				continue
 			}
 			surplus--
-			if mc.Work > 0 {
-				ba.decision.Leaving = append(ba.decision.Leaving, mc.Name)
+			if mc.Runs > 0 {
+				ba.decision.Draining = append(ba.decision.Draining, mc.Name)
 				continue
 			}
 			ba.move(po.Name, slices.IndexFunc(ba.byPool[po.Name], func(other Machine) bool { return other.Name == mc.Name }), standby)
--- a/internal/entry/placement/endpoint.go
+++ b/internal/entry/placement/endpoint.go
@@ -10,32 +10,36 @@
 )
 
 const (
-	// failuresToEject is how many failures in a row eject an endpoint.
+	// failuresToEject is the number of consecutive failures that ejects an
+	// endpoint.
 	failuresToEject = 3
-	ejectMin        = time.Second
-	ejectMax        = 16 * time.Second
-	// probeAfter is when an ejected endpoint gets ordinary work again even if
-	// no repeatable request came by to probe it.
-	probeAfter = 30 * time.Second
+	minEjection     = time.Second
+	maxEjection     = 16 * time.Second
+	// maxProbeWait is the time after which an ejected endpoint may be probed
+	// with any request, if no repeatable request has probed it before.
+	maxProbeWait = 30 * time.Second
 )
 
-// worker is an endpoint that is leased to this entry instance.
-type worker struct {
-	id      weir.InstanceID
-	lease   endpoint.Lease
-	addr    string
-	expires time.Time
-	leaving bool
-	seen    uint64 // view index that the endpoint has been told of
-	service weir.ServiceName
-	serving bool
-	conns   *httpconn.Pool
+// leasedEndpoint is the state of an endpoint that is leased to this entry
+// instance.
+type leasedEndpoint struct {
+	id       weir.InstanceID
+	lease    endpoint.Lease
+	addr     string
+	expires  time.Time
+	leaving  bool
+	seenView uint64 // highest view index that the endpoint has received
+	service  weir.ServiceName
+	serving  bool
+	conns    *httpconn.Pool
 
 	busy int
-	// foreign counts requests of earlier owners that are still in flight.
+	// foreign is the number of requests in flight that entry instances which
+	// held the endpoint earlier have sent.
 	foreign int
-	// reported is the in-flight count of the last announcement.
-	reported int
+	// reportedInFlight is the number of requests in flight in the last
+	// announcement.
+	reportedInFlight int
 
 	failures     int
 	ejections    int
@@ -44,66 +48,69 @@
 	probing      bool
 }
 
-// up reports whether the worker counts as available.
-func (wk *worker) up(now time.Time) bool {
-	return now.Before(wk.expires) && !wk.leaving && !wk.ejected()
+// up reports whether the endpoint counts as available in reports to the leader.
+func (ep *leasedEndpoint) up(now time.Time) bool {
+	return now.Before(ep.expires) && !ep.leaving && !ep.ejected()
 }
 
-func (wk *worker) ejected() bool { return !wk.ejectedUntil.IsZero() }
+func (ep *leasedEndpoint) ejected() bool { return !ep.ejectedUntil.IsZero() }
 
-// free returns how many more requests the worker may be given.
-func (wk *worker) free(now time.Time, slots int) int {
-	if !wk.serving || wk.leaving || !now.Before(wk.expires) {
+// free returns the number of free slots of the endpoint: none if the view gives
+// it no work, it is leaving or its lease has expired.
+func (ep *leasedEndpoint) free(now time.Time, slots int) int {
+	if !ep.serving || ep.leaving || !now.Before(ep.expires) {
 		return 0
 	}
-	return max(0, slots-wk.busy-wk.foreign)
+	return max(0, slots-ep.busy-ep.foreign)
 }
 
-// takes reports whether an ejected worker may be given this request: one
-// repeatable request at a time once its pause is over.
-func (wk *worker) takes(now time.Time, repeatable bool) bool {
-	if !wk.ejected() {
+// accepts reports whether the endpoint may be given a request. An ejected one
+// is probed with one request at a time once the ejection is over: a repeatable
+// request, or after maxProbeWait any.
+func (ep *leasedEndpoint) accepts(now time.Time, repeatable bool) bool {
+	if !ep.ejected() {
 		return true
 	}
-	if now.Before(wk.ejectedUntil) || wk.probing {
+	if now.Before(ep.ejectedUntil) || ep.probing {
 		return false
 	}
-	return repeatable || now.Sub(wk.ejectedAt) > probeAfter
+	return repeatable || now.Sub(ep.ejectedAt) > maxProbeWait
 }
 
-// Result tells how a request on a slot ended.
+// Result is the outcome of a request on a slot, as it counts for the endpoint.
 type Result int
 
 // The results of a request.
 const (
-	// Succeeded requests got an answer that is not a server error.
+	// Succeeded requests got a response that is not a server error.
 	Succeeded Result = iota
-	// Failed requests broke, timed out or got a server error.
+	// Failed requests lost their connection, timed out or got a server error.
 	Failed
-	// Abandoned requests were given up by their caller and say nothing about
-	// the worker.
+	// Abandoned requests say nothing about the health of the endpoint, such as
+	// one that it refused.
 	Abandoned
 )
 
-// settle counts a result and reports whether the worker should be ejected.
-func (wk *worker) settle(res Result) bool {
-	wk.probing = false
+// recordResult counts a result and reports whether the endpoint should be
+// ejected.
+func (ep *leasedEndpoint) recordResult(res Result) bool {
+	ep.probing = false
 	switch res {
 	case Succeeded:
-		wk.failures = 0
-		wk.ejections = 0
-		wk.ejectedUntil = time.Time{}
+		ep.failures = 0
+		ep.ejections = 0
+		ep.ejectedUntil = time.Time{}
 	case Failed:
-		wk.failures++
-		return wk.ejected() || wk.failures >= failuresToEject
+		ep.failures++
+		return ep.ejected() || ep.failures >= failuresToEject
 	case Abandoned:
 	}
 	return false
 }
 
-func (wk *worker) eject(now time.Time) {
-	pause := min(ejectMin<<min(wk.ejections, 8), ejectMax)
-	wk.ejections++
-	wk.ejectedAt = now
-	wk.ejectedUntil = now.Add(pause)
+func (ep *leasedEndpoint) eject(now time.Time) {
+	pause := min(minEjection<<min(ep.ejections, 8), maxEjection)
+	ep.ejections++
+	ep.ejectedAt = now
+	ep.ejectedUntil = now.Add(pause)
 }
