--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -54,7 +54,7 @@
 		debug.SetGCPercent(percent)
 	}
 	ho.build()
-	ctl := &platform.Control{
+	ctl := &platform.ControlAPI{
 		Handler: ho.service, Wall: clock.Wall{}, Logger: lg, Address: st.ControlAddress,
 	}
 	ho.steps = append(ho.steps, pc.watch(lg, ho.roster), metricsStep(&st, ho.state),
@@ -68,15 +68,15 @@
 	ho := &holder{
 		PeerAddr: st.PeerAddress(), Zone: string(st.Zone), Token: peerToken, Seeds: st.SeedPeers(), DataDir: st.DataDir,
 		Voters: 2*st.Tolerance.Machines + 1, Retention: time.Duration(st.Bounds.RetentionS*float64(time.Second)) + retentionMargin,
-		Name: st.Name, Turn: st.Turn() + turnMargin,
-		Workers: platform.NewWorkers(clock.BootTime{}), Logger: lg,
+		Name: st.Name, Turn: st.MachineOrderDelay() + turnMargin,
+		Workers: platform.NewWorkerClient(clock.BootTime{}), Logger: lg,
 	}
 	if st.Cloud.Address != "" {
-		ho.Machines = platform.NewMachines(st.Cloud.Address, clock.BootTime{})
+		ho.Machines = platform.NewMachineClient(st.Cloud.Address, clock.BootTime{})
 		ho.MachineRate = st.Cloud.OrdersPerS
 	}
 	if st.Adviser != "" {
-		ho.Adviser = platform.NewAdviser(st.Adviser, clock.BootTime{})
+		ho.Adviser = platform.NewAdviceClient(st.Adviser, clock.BootTime{})
 	}
 	return ho
 }
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -59,9 +59,9 @@
 		pc.watch(lg, ros),
 		metricsStep(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
 		&ops.Listener{
-			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewFront(rly, lg),
+			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewCallerHandler(rly, lg),
 			ShutdownDelay: entryLinger, ShutdownTimeout: entryPatience,
 		},
-		&ops.Listener{Name: "readiness", Addr: st.Bind.Ready, Handler: platform.NewReady(ready)},
+		&ops.Listener{Name: "readiness", Addr: st.Bind.Ready, Handler: platform.NewReadinessHandler(ready)},
 	}
 }
