--- a/cmd/greengageweir/check.go
+++ b/cmd/greengageweir/check.go
@@ -6,13 +6,13 @@
 	"greengageweir/platform"
 )
 
-// checkCommand checks the platform's settings file and prints what a process
-// would make of it.
+// checkCommand checks the platform's settings file and prints the values that a
+// process derives from it.
 type checkCommand struct{ platformFlags }
 
 // Execute implements flags.Commander.
 func (cc *checkCommand) Execute([]string) error {
-	st, err := platform.Load(cc.path())
+	st, err := platform.Load(cc.settingsPath())
 	if err != nil {
 		return err
 	}
--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -16,14 +16,14 @@
 	"github.com/go-kit/log"
 )
 
-// commonFlags are the flags of all daemons.
+// commonFlags are the flags that entry instances and control processes share.
 type commonFlags struct {
-	ID             string `long:"id" env:"WEIR_ID" description:"Name of this process, unique in the system"`
+	ID             string `long:"id" env:"WEIR_ID" description:"Name of this process, unique in the fleet"`
 	Zone           string `long:"zone" env:"WEIR_ZONE" description:"Availability zone of this process"`
-	PeerAddr       string `long:"peer-addr" env:"WEIR_PEER_ADDR" description:"IP:port for the system's other processes"`
+	PeerAddr       string `long:"peer-addr" env:"WEIR_PEER_ADDR" description:"IP:port for connections from other processes"`
 	OpsAddr        string `long:"ops-addr" env:"WEIR_OPS_ADDR" description:"IP:port for operators: state, metrics, health"`
 	PeerTokenFile  string `long:"peer-token-file" env:"WEIR_PEER_TOKEN_FILE" description:"File with the token that processes share"`
-	OperatorTokens string `long:"operator-tokens" env:"WEIR_OPERATOR_TOKENS" description:"File with lines of operator and token"`
+	OperatorTokens string `long:"operator-tokens" env:"WEIR_OPERATOR_TOKENS" description:"File with one operator and token a line"`
 	LogLevel       string `long:"log-level" env:"WEIR_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
 
@@ -36,31 +36,33 @@
 	ck.File("--operator-tokens", cf.OperatorTokens)
 }
 
-// kit is what every daemon is built from.
-type kit struct {
+// dependencies holds the logger and the credentials that a daemon is built with.
+type dependencies struct {
 	logger    log.Logger
 	level     *logging.Level
 	token     string
 	operators *auth.Operators
 }
 
-func (cf *commonFlags) open(role string) (kit, error) {
+// setup creates the logger and loads the credentials.
+func (cf *commonFlags) setup(role string) (dependencies, error) {
 	lg, lvl, err := logging.New(os.Stderr, cf.LogLevel, role, cf.ID)
 	if err != nil {
-		return kit{}, err
+		return dependencies{}, err
 	}
 	invariant.SetLogger(lg)
 	token, err := auth.LoadToken(cf.PeerTokenFile)
 	if err != nil {
-		return kit{}, err
+		return dependencies{}, err
 	}
 	opers, err := auth.Load(cf.OperatorTokens)
-	return kit{logger: lg, level: lvl, token: token, operators: opers}, err
+	return dependencies{logger: lg, level: lvl, token: token, operators: opers}, err
 }
 
-// stopContext ends with the first signal. The second signal ends the process
-// at once; cut tells what that interrupts.
-func stopContext(lg log.Logger, cut func() string) context.Context {
+// signalContext returns a context that the first SIGINT or SIGTERM cancels. The
+// second exits the process at once; interrupted describes, for the log, what that
+// breaks off.
+func signalContext(lg log.Logger, interrupted func() string) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -69,14 +71,15 @@
 		_ = lg.Log("level", "info", "msg", "stopping")
 		cancel()
 		<-signals
-		_ = lg.Log("level", "warn", "msg", "stopped at once", "cut", cut())
+		_ = lg.Log("level", "warn", "msg", "second signal, exiting at once", "cut", interrupted())
 		os.Exit(1)
 	}()
 	return ctx
 }
 
-// split reads a list that came as one environment variable.
-func split(list []string) []string {
+// splitList splits values at commas and spaces, because an environment variable
+// holds a whole list.
+func splitList(list []string) []string {
 	var out []string
 	for _, item := range list {
 		out = append(out, strings.FieldsFunc(item, func(r rune) bool { return r == ',' || r == ' ' })...)
@@ -85,6 +88,6 @@
 }
 
 const (
-	minNotice = 0 * time.Second
-	maxNotice = time.Minute
+	minDrainNotice = 0 * time.Second
+	maxDrainNotice = time.Minute
 )
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -32,11 +32,11 @@
 	CallerAddr      string        `long:"caller-addr" env:"WEIR_CALLER_ADDR" description:"IP:port for callers"`
 	EndpointAddr    string        `long:"endpoint-addr" env:"WEIR_ENDPOINT_ADDR" description:"IP:port for endpoints' announcements"`
 	Controls        []string      `long:"control" env:"WEIR_CONTROLS" env-delim:"," description:"Peer address of a control process; repeat for each"`
-	Entries         []string      `long:"entry" env:"WEIR_ENTRIES" env-delim:"," description:"Entry instance as id=zone=IP:port, this one too; repeat for each"`
+	Entries         []string      `long:"entry" env:"WEIR_ENTRIES" env-delim:"," description:"Entry instance as id=zone=IP:port, including this one; repeat for each"`
 	LedgerRetention time.Duration `long:"ledger-retention" env:"WEIR_LEDGER_RETENTION" default:"10m" description:"How long the outcome of a key is remembered"`
-	LedgerKeys      int           `long:"ledger-keys" env:"WEIR_LEDGER_KEYS" default:"200000" description:"How many keys are remembered at most"`
-	DrainNotice     time.Duration `long:"drain-notice" env:"WEIR_DRAIN_NOTICE" default:"1s" description:"Time for the balancer to notice a stop"`
-	DrainPatience   time.Duration `long:"drain-patience" env:"WEIR_DRAIN_PATIENCE" default:"30s" description:"Time for requests in flight to finish at a stop"`
+	LedgerKeys      int           `long:"ledger-keys" env:"WEIR_LEDGER_KEYS" default:"200000" description:"Maximum number of keys that are remembered"`
+	DrainNotice     time.Duration `long:"drain-notice" env:"WEIR_DRAIN_NOTICE" default:"1s" description:"Time for the load balancer to notice a shutdown"`
+	DrainPatience   time.Duration `long:"drain-patience" env:"WEIR_DRAIN_PATIENCE" default:"30s" description:"Time for requests in flight to finish at shutdown"`
 
 	peers []mesh.Peer
 }
@@ -48,15 +48,15 @@
 	ck.Address("--endpoint-addr", ec.EndpointAddr)
 	ck.Range("--ledger-retention", ec.LedgerRetention, 10*time.Second, 24*time.Hour)
 	ck.Count("--ledger-keys", ec.LedgerKeys, 100, 10_000_000)
-	ck.Range("--drain-notice", ec.DrainNotice, minNotice, maxNotice)
+	ck.Range("--drain-notice", ec.DrainNotice, minDrainNotice, maxDrainNotice)
 	ck.Range("--drain-patience", ec.DrainPatience, time.Second, time.Hour)
-	ec.Controls = split(ec.Controls)
+	ec.Controls = splitList(ec.Controls)
 	ck.Require("--control", len(ec.Controls) > 0)
 	for _, addr := range ec.Controls {
 		ck.Address("--control", addr)
 	}
 	self := false
-	for _, item := range split(ec.Entries) {
+	for _, item := range splitList(ec.Entries) {
 		id, rest := ck.Pair("--entry", item)
 		zone, addr := ck.Pair("--entry", rest)
 		ck.Address("--entry", addr)
@@ -72,81 +72,81 @@
 	if err := ec.check(); err != nil {
 		return err
 	}
-	kt, err := ec.open("entry")
+	deps, err := ec.setup("entry")
 	if err != nil {
 		return err
 	}
-	pr := ec.build(kt)
-	ctx := stopContext(kt.logger, func() string { return fmt.Sprintf("%d requests", pr.front.InFlight()) })
-	_ = kt.logger.Log("level", "info", "msg", "started", "version", cli.Version, "zone", ec.Zone)
-	return pr.run(ctx, kt)
+	pr := ec.build(deps)
+	ctx := signalContext(deps.logger, func() string { return fmt.Sprintf("%d requests", pr.callerServer.InFlight()) })
+	_ = deps.logger.Log("level", "info", "msg", "started", "version", cli.Version, "zone", ec.Zone)
+	return pr.run(ctx, deps)
 }
 
-// entryProcess holds the parts of an entry instance.
+// entryProcess holds the components of an entry instance.
 type entryProcess struct {
-	clk      clock.System
-	table    *placement.Table
-	store    *ledger.Store
-	mesh     *mesh.Mesh
-	follower *viewsync.Subscriber
-	front    *callerapi.Server
-	steps    []weir.Component
+	clk          clock.System
+	table        *placement.Table
+	store        *ledger.Store
+	mesh         *mesh.Mesh
+	subscriber   *viewsync.Subscriber
+	callerServer *callerapi.Server
+	components   []weir.Component
 }
 
-func (ec *entryCommand) build(kt kit) *entryProcess {
+func (ec *entryCommand) build(deps dependencies) *entryProcess {
 	clk := clock.System{}
 	zone := weir.Zone(ec.Zone)
 	self := peer.Identity{ID: ec.ID, Role: "entry", Zone: ec.Zone}
 	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
-	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: kt.token, Clock: clk, Logger: kt.logger, Free: pr.table.FreeSlots}
-	pr.follower = &viewsync.Subscriber{
-		Controls: ec.Controls, Token: kt.token, Self: self, Logger: kt.logger, OnView: pr.table.SetView,
+	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: deps.token, Clock: clk, Logger: deps.logger, Free: pr.table.FreeSlots}
+	pr.subscriber = &viewsync.Subscriber{
+		Controls: ec.Controls, Token: deps.token, Self: self, Logger: deps.logger, OnView: pr.table.SetView,
 	}
 	dp := &dispatch.Dispatcher{
-		Self: ec.ID, Zone: zone, Entries: ec.sites(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
+		Self: ec.ID, Zone: zone, Entries: ec.entryInstances(), Table: pr.table, Mesh: pr.mesh, Store: pr.store, Clock: clk,
 	}
-	pr.front = &callerapi.Server{
+	pr.callerServer = &callerapi.Server{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
 		Ready: pr.ready, DrainNotice: ec.DrainNotice, DrainPatience: ec.DrainPatience,
 	}
 	sv := &serve.PeerHandler{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
-	pr.steps = []weir.Component{
+	pr.components = []weir.Component{
 		&ops.Server{
-			Addr: ec.OpsAddr, Operators: kt.operators, Level: kt.level, Version: cli.Version,
+			Addr: ec.OpsAddr, Operators: deps.operators, Level: deps.level, Version: cli.Version,
 			Dump: pr.dump, Ready: pr.ready,
 		},
-		pr.follower,
+		pr.subscriber,
 		pr.mesh,
-		&peer.Server{Addr: ec.PeerAddr, Token: kt.token, Handle: sv.Handle, Logger: kt.logger},
+		&peer.Server{Addr: ec.PeerAddr, Token: deps.token, Handle: sv.Handle, Logger: deps.logger},
 		&ledger.Recovery{
-			Self: ec.ID, Replicas: ec.replicaPeers(), Store: pr.store, Caller: pr.mesh, Logger: kt.logger,
+			Self: ec.ID, Replicas: ec.replicaPeers(), Store: pr.store, Caller: pr.mesh, Logger: deps.logger,
 		},
 		&report.Reporter{
 			Self: ec.ID, Zone: zone, Started: clk.Now().UTC().Round(time.Millisecond), Table: pr.table,
-			Control: pr.follower, Clock: clk, Logger: kt.logger,
+			Control: pr.subscriber, Clock: clk, Logger: deps.logger,
 		},
 		&serve.AnnouncementServer{Addr: ec.EndpointAddr, Table: pr.table},
 		&run.Func{Name: "drainer", Do: pr.drain},
-		pr.front,
+		pr.callerServer,
 	}
 	return pr
 }
 
-func (ec *entryCommand) sites() []ledger.EntryInstance {
-	sites := make([]ledger.EntryInstance, 0, len(ec.peers))
+func (ec *entryCommand) entryInstances() []ledger.EntryInstance {
+	entries := make([]ledger.EntryInstance, 0, len(ec.peers))
 	for _, pe := range ec.peers {
-		sites = append(sites, ledger.EntryInstance{Entry: pe.ID, Zone: pe.Zone})
+		entries = append(entries, ledger.EntryInstance{Entry: pe.ID, Zone: pe.Zone})
 	}
-	return sites
+	return entries
 }
 
-// replicaPeers returns all members of the ledger groups that this instance
-// belongs to.
+// replicaPeers returns the members of all ledger replica groups that this
+// instance belongs to.
 func (ec *entryCommand) replicaPeers() []string {
 	members := map[string]bool{}
-	for _, si := range ec.sites() {
-		ids := ledger.Replicas(ec.sites(), si.Zone)
+	for _, si := range ec.entryInstances() {
+		ids := ledger.Replicas(ec.entryInstances(), si.Zone)
 		if !slices.Contains(ids, ec.ID) {
 			continue
 		}
@@ -161,17 +161,17 @@
 	return list
 }
 
-// run works until the context ends. The steps stop last to first: callers
-// are let finish before the links that carry their requests go down.
-func (pr *entryProcess) run(ctx context.Context, kt kit) error {
-	return run.All(ctx, kt.logger, pr.steps...)
+// run runs the components until the context ends. They stop in reverse order, so
+// that callers' requests finish before the links that carry them are closed.
+func (pr *entryProcess) run(ctx context.Context, deps dependencies) error {
+	return run.All(ctx, deps.logger, pr.components...)
 }
 
 func (pr *entryProcess) ready() error {
 	switch {
-	case pr.front.Stopping():
+	case pr.callerServer.Stopping():
 		return errors.New("stopping")
-	case pr.follower.View().Index == 0:
+	case pr.subscriber.View().Index == 0:
 		return errors.New("no configuration yet")
 	case !pr.store.AcceptsNewKeys(pr.clk.Now()):
 		return errors.New("ledger has not caught up")
@@ -181,39 +181,39 @@
 
 // entryState is an entry instance's part of the state dump.
 type entryState struct {
-	View      uint64                    `json:"view"`
-	Number    uint64                    `json:"number"`
-	InFlight  int64                     `json:"inFlight"`
-	Ledger    ledger.Stats              `json:"ledger"`
-	Endpoints []placement.EndpointState `json:"endpoints"`
-	Demand    any                       `json:"demand"`
+	ViewIndex    uint64                    `json:"view"`
+	ConfigNumber uint64                    `json:"number"`
+	InFlight     int64                     `json:"inFlight"`
+	Ledger       ledger.Stats              `json:"ledger"`
+	Endpoints    []placement.EndpointState `json:"endpoints"`
+	Demand       any                       `json:"demand"`
 }
 
 func (pr *entryProcess) dump() any {
-	vw := pr.follower.View()
+	vw := pr.subscriber.View()
 	return entryState{
-		View: vw.Index, Number: vw.ConfigNumber, InFlight: pr.front.InFlight(), Ledger: pr.store.Stats(),
+		ViewIndex: vw.Index, ConfigNumber: vw.ConfigNumber, InFlight: pr.callerServer.InFlight(), Ledger: pr.store.Stats(),
 		Endpoints: pr.table.Endpoints(), Demand: pr.table.Demand(),
 	}
 }
 
 const (
-	drainPoll    = 50 * time.Millisecond
-	drainAtMost  = 30 * time.Second
-	drainAtLeast = 1500 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
+	maxDrainWait      = 30 * time.Second
+	minDrainWait      = 1500 * time.Millisecond
 )
 
-// drain waits for the stop, makes endpoints lease themselves elsewhere and
-// lets requests that other entry instances placed here finish, before the
-// links go down.
+// drain waits for the context to end and then makes endpoints lease from other
+// entry instances. It returns when the requests that other entry instances placed
+// here have finished, or after maxDrainWait; the links are closed after that.
 func (pr *entryProcess) drain(ctx context.Context) error {
 	<-ctx.Done()
 	pr.table.Stop()
-	for waited := time.Duration(0); waited < drainAtMost; waited += drainPoll {
-		if waited >= drainAtLeast && pr.table.Busy() == 0 {
+	for waited := time.Duration(0); waited < maxDrainWait; waited += drainPollInterval {
+		if waited >= minDrainWait && pr.table.Busy() == 0 {
 			return nil
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	return nil
 }
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -21,17 +21,17 @@
 	"github.com/labstack/echo/v4"
 )
 
-// jobsCommand runs a process that takes jobs and runs them on task workers.
+// jobsCommand runs a process that accepts jobs and runs them on task workers.
 type jobsCommand struct {
 	Zone          string        `long:"zone" env:"WEIR_ZONE" description:"Availability zone of this process"`
-	PeerAddr      string        `long:"peer-addr" env:"WEIR_PEER_ADDR" description:"IP:port for the system's other processes; also the process's id"`
+	PeerAddr      string        `long:"peer-addr" env:"WEIR_PEER_ADDR" description:"IP:port for connections from other processes; also the process's id"`
 	Listen        string        `long:"listen" env:"WEIR_JOBS_ADDR" description:"IP:port for callers, workers and operators"`
-	MetricsAddr   string        `long:"metrics-addr" env:"WEIR_METRICS_ADDR" description:"IP:port of metrics and state; none if not given"`
+	MetricsAddr   string        `long:"metrics-addr" env:"WEIR_METRICS_ADDR" description:"IP:port for metrics and state; not served if not given"`
 	DataDir       string        `long:"data-dir" env:"WEIR_DATA_DIR" description:"Folder for the replicated log"`
-	Seeds         []string      `long:"seed" env:"WEIR_SEEDS" env-delim:"," description:"Peer address of a process, this one too; repeat for each"`
-	FirstStart    bool          `long:"first-start" env:"WEIR_FIRST_START" description:"The seeds found a new cluster; without it an empty folder joins one"`
-	Tolerance     int           `long:"tolerance" env:"WEIR_TOLERANCE" default:"1" description:"Processes with a disk that may be lost at once"`
-	Retention     time.Duration `long:"retention" env:"WEIR_RETENTION" default:"10m" description:"How long the state of an ended job is told"`
+	Seeds         []string      `long:"seed" env:"WEIR_SEEDS" env-delim:"," description:"Peer address of a process, including this one; repeat for each"`
+	FirstStart    bool          `long:"first-start" env:"WEIR_FIRST_START" description:"Form a new cluster of the seeds; without it, an empty folder joins an existing one"`
+	Tolerance     int           `long:"tolerance" env:"WEIR_TOLERANCE" default:"1" description:"Number of processes with a disk that may fail at once"`
+	Retention     time.Duration `long:"retention" env:"WEIR_RETENTION" default:"10m" description:"How long the state of an ended job can be queried"`
 	PeerTokenFile string        `long:"peer-token-file" env:"WEIR_PEER_TOKEN_FILE" description:"File with the token that processes share"`
 	LogLevel      string        `long:"log-level" env:"WEIR_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
@@ -51,7 +51,7 @@
 		ck.Address("--metrics-addr", jc.MetricsAddr)
 	}
 	ck.Require("--data-dir", jc.DataDir != "")
-	jc.Seeds = split(jc.Seeds)
+	jc.Seeds = splitList(jc.Seeds)
 	ck.Require("--seed", len(jc.Seeds) > 0)
 	for _, seed := range jc.Seeds {
 		ck.Address("--seed", seed)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	if err := formatFirst(jc.DataDir, jc.PeerAddr, jc.Seeds, jc.FirstStart, lg); err != nil {
+	if err := formatOnFirstStart(jc.DataDir, jc.PeerAddr, jc.Seeds, jc.FirstStart, lg); err != nil {
 		return err
 	}
 	_ = lg.Log("level", "info", "msg", "started", "version", cli.Version, "zone", jc.Zone, "listen", jc.Listen)
@@ -86,19 +86,19 @@
 }
 
 func (jc *jobsCommand) run(token string, lg log.Logger) error {
-	ctx := stopContext(lg, func() string { return "nothing that is not synced" })
-	ho := &holder{
+	ctx := signalContext(lg, func() string { return "no synced data" })
+	lr := &logReplica{
 		PeerAddr: jc.PeerAddr, Zone: jc.Zone, Token: token, Seeds: jc.Seeds, DataDir: jc.DataDir, Voters: 2*jc.Tolerance + 1,
-		Retention: jc.Retention, Name: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
+		Retention: jc.Retention, HolderName: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
 	}
-	ho.build()
-	ho.steps = append(ho.steps, &ops.Listener{
-		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(ho.service, clock.Wall{}), ShutdownTimeout: controlPatience,
+	lr.build()
+	lr.components = append(lr.components, &ops.Listener{
+		Name: "jobs listener", Addr: jc.Listen, Handler: jobhttp.Routes(lr.handler, clock.Wall{}), ShutdownTimeout: controlShutdownTimeout,
 	})
 	if jc.MetricsAddr != "" {
-		ho.steps = append(ho.steps, metricsListener(jc.MetricsAddr, ho.state))
+		lr.components = append(lr.components, metricsListener(jc.MetricsAddr, lr.dumpState))
 	}
-	return run.All(ctx, lg, ho.steps...)
+	return run.All(ctx, lg, lr.components...)
 }
 
 // metricsListener serves metrics and a dump of the process's state.
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -21,53 +21,56 @@
 )
 
 const (
-	// peerToken is shared by all processes: the platform hands out no secrets
-	// and keeps others off the machines' own ports.
+	// peerToken authenticates processes to each other. It is a constant because
+	// the platform distributes no secrets; it blocks other clients from the
+	// machines' own ports.
 	peerToken = "greengageweir-platform"
-	// memoryShare is the share of a machine's memory at which the collector
-	// works harder.
-	memoryShare = 0.6
-	megabyte    = 1 << 20
-	// settingsEvery separates looks at the settings file: seeds are needed
-	// only when all known processes have moved.
-	settingsEvery = 5 * time.Second
+	// memoryLimitShare is the share of a machine's memory that is set as the soft
+	// memory limit of the Go runtime, near which it collects more often.
+	memoryLimitShare = 0.6
+	mebibyte         = 1 << 20
+	// settingsPollInterval is the time between reads of the settings file. New
+	// seeds are needed only when all known processes have moved.
+	settingsPollInterval = 5 * time.Second
 )
 
 // platformFlags are the flags of the commands that take their settings from
 // the platform's file.
 type platformFlags struct {
-	Settings string `long:"settings" description:"Settings file; without it the one that the environment names"`
+	Settings string `long:"settings" description:"Settings file; the path in GREENGAGEWEIR_CONFIG if not given"`
 	LogLevel string `long:"log-level" env:"WEIR_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
 
-// path is the settings file's.
-func (pf *platformFlags) path() string {
+// settingsPath returns the path of the settings file, from the flag or the
+// environment.
+func (pf *platformFlags) settingsPath() string {
 	if pf.Settings != "" {
 		return pf.Settings
 	}
 	return platform.SettingsPath()
 }
 
-// watch reads the settings again at each SIGHUP, and now and then, since they
-// may change without a signal. What cannot be read changes nothing.
-func (pf *platformFlags) watch(lg log.Logger, ros *roster.Roster) *run.Func {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
+// watchSettings reads the settings file at each SIGHUP and, because it may change
+// without a signal, at each settingsPollInterval. It adds the seeds to the roster;
+// a file that cannot be read is logged and has no effect.
+func (pf *platformFlags) watchSettings(lg log.Logger, ros *roster.Roster) *run.Func {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	return &run.Func{Name: "settings", Do: func(ctx context.Context) error {
-		ticker := time.NewTicker(settingsEvery)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
-			signalled := false
+			hangup := false
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-hups:
-				signalled = true
+			case <-hangups:
+				hangup = true
 			case <-ticker.C:
 			}
-			st, err := platform.Load(pf.path())
-			if signalled || err != nil {
-				_ = lg.Log("level", "info", "msg", "settings read", "signal", signalled, "seeds", strings.Join(st.Seeds, ","), "err", err)
+			st, err := platform.Load(pf.settingsPath())
+			if hangup || err != nil {
+				_ = lg.Log("level", "info", "msg", "settings file read", "signal", hangup, "seeds", strings.Join(st.Seeds, ","), "err", err)
 			}
 			if err == nil {
 				ros.AddSeeds(st.SeedPeers())
@@ -76,9 +79,10 @@
 	}}
 }
 
-// open reads the settings and starts the log on standard output.
-func (pf *platformFlags) open(role string) (platform.Settings, log.Logger, error) {
-	st, err := platform.Load(pf.path())
+// setup loads the settings, creates a logger on standard output and sets the
+// memory limit.
+func (pf *platformFlags) setup(role string) (platform.Settings, log.Logger, error) {
+	st, err := platform.Load(pf.settingsPath())
 	if err != nil {
 		return st, nil, err
 	}
@@ -87,12 +91,12 @@
 		return st, nil, err
 	}
 	invariant.SetLogger(lg)
-	debug.SetMemoryLimit(int64(memoryShare * float64(st.Limits.MemoryMB) * megabyte))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(st.Limits.MemoryMB) * mebibyte))
 	_ = lg.Log("level", "info", "msg", "started", "version", cli.Version, "zone", st.Zone, "peerAddr", st.PeerAddress(),
 		"seeds", len(st.Seeds), "firstStart", st.FirstStart, "memoryMB", st.Limits.MemoryMB)
 	return st, lg, nil
 }
 
-func metricsStep(st *platform.Settings, dump func() any) *ops.Listener {
+func platformMetricsListener(st *platform.Settings, dump func() any) *ops.Listener {
 	return metricsListener(st.MetricsAddress(), dump)
 }
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -13,70 +13,71 @@
 )
 
 const (
-	// turnMargin is added to the platform's least time between two leaders'
-	// orders for one machine.
-	turnMargin = 500 * time.Millisecond
-	// retentionMargin is added to the time for which the platform asks for the
+	// machineOrderMargin is added to the platform's minimum time between orders of
+	// two different leaders for one machine.
+	machineOrderMargin = 500 * time.Millisecond
+	// retentionMargin is added to the time during which the platform may query the
 	// state of ended jobs.
 	retentionMargin = time.Second
-	// controlPatience is the time for requests in flight at a stop.
-	controlPatience = time.Second
-	// leaderCollector lets a leader's heap grow to three times what is in use
-	// before it is collected: one of 349 workers has 25 MB in use and spent an
-	// eighth of its processor time on collecting at the usual 100.
-	leaderCollector = 200
-	// followerCollector is the same for followers, which have processor time to
-	// spare while their memory is paid for.
-	followerCollector = 50
+	// controlShutdownTimeout is the time for requests in flight to finish at
+	// shutdown.
+	controlShutdownTimeout = time.Second
+	// leaderGCPercent lets a leader's heap grow to three times the live heap before
+	// a collection. A leader with 349 workers has 25 MB in use and spent an eighth
+	// of its CPU time on garbage collection at the default of 100.
+	leaderGCPercent = 200
+	// followerGCPercent is lower, because followers have CPU time to spare while
+	// their memory is billed.
+	followerGCPercent = 50
 )
 
-// platformControlCommand runs a process that holds the log on the platform's
+// platformControlCommand runs a replica of the job log on the platform's
 // machines.
 type platformControlCommand struct{ platformFlags }
 
 // Execute implements flags.Commander.
 func (pc *platformControlCommand) Execute([]string) error {
-	st, lg, err := pc.open("control")
+	st, lg, err := pc.setup("control")
 	if err != nil {
 		return err
 	}
-	if err := formatFirst(st.DataDir, st.PeerAddress(), st.SeedPeers(), st.FirstStart, lg); err != nil {
+	if err := formatOnFirstStart(st.DataDir, st.PeerAddress(), st.SeedPeers(), st.FirstStart, lg); err != nil {
 		return err
 	}
-	debug.SetGCPercent(followerCollector)
-	ctx := stopContext(lg, func() string { return "nothing that is not synced" })
-	ho := platformHolder(&st, lg)
-	ho.Leading = func(leads bool) {
-		percent := followerCollector
+	debug.SetGCPercent(followerGCPercent)
+	ctx := signalContext(lg, func() string { return "no synced data" })
+	lr := newPlatformReplica(&st, lg)
+	lr.OnLeadershipChange = func(leads bool) {
+		percent := followerGCPercent
 		if leads {
-			percent = leaderCollector
+			percent = leaderGCPercent
 		}
 		debug.SetGCPercent(percent)
 	}
-	ho.build()
+	lr.build()
 	ctl := &platform.ControlAPI{
-		Handler: ho.service, Wall: clock.Wall{}, Logger: lg, Address: st.ControlAddress,
+		Handler: lr.handler, Wall: clock.Wall{}, Logger: lg, Address: st.ControlAddress,
 	}
-	ho.steps = append(ho.steps, pc.watch(lg, ho.roster), metricsStep(&st, ho.state),
-		&ops.Listener{Name: "control listener", Addr: st.Bind.Control, Handler: ctl.Routes(), ShutdownTimeout: controlPatience})
-	err = run.All(ctx, lg, ho.steps...)
+	lr.components = append(lr.components, pc.watchSettings(lg, lr.roster), platformMetricsListener(&st, lr.dumpState),
+		&ops.Listener{Name: "control listener", Addr: st.Bind.Control, Handler: ctl.Routes(), ShutdownTimeout: controlShutdownTimeout})
+	err = run.All(ctx, lg, lr.components...)
 	_ = lg.Log("level", "info", "msg", "stopped", "err", err)
 	return err
 }
 
-func platformHolder(st *platform.Settings, lg log.Logger) *holder {
-	ho := &holder{
+func newPlatformReplica(st *platform.Settings, lg log.Logger) *logReplica {
+	lr := &logReplica{
 		PeerAddr: st.PeerAddress(), Zone: string(st.Zone), Token: peerToken, Seeds: st.SeedPeers(), DataDir: st.DataDir,
 		Voters: 2*st.Tolerance.Machines + 1, Retention: time.Duration(st.Bounds.RetentionS*float64(time.Second)) + retentionMargin,
-		Name: st.Name, Turn: st.MachineOrderDelay() + turnMargin,
+		HolderName: st.Name, MachineOrderDelay: st.MachineOrderDelay() + machineOrderMargin,
 		Workers: platform.NewWorkerClient(clock.BootTime{}), Logger: lg,
 	}
 	if st.Cloud.Address != "" {
-		ho.Machines = platform.NewMachineClient(st.Cloud.Address, clock.BootTime{})
-		ho.MachineRate = st.Cloud.OrdersPerS
+		lr.Machines = platform.NewMachineClient(st.Cloud.Address, clock.BootTime{})
+		lr.MachineOrderRate = st.Cloud.OrdersPerS
 	}
 	if st.Adviser != "" {
-		ho.Adviser = platform.NewAdviceClient(st.Adviser, clock.BootTime{})
+		lr.Adviser = platform.NewAdviceClient(st.Adviser, clock.BootTime{})
 	}
-	return ho
+	return lr
 }
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// entryLinger is how long a stopping entry instance still takes requests:
-	// the platform looks once a second and needs two refusals.
-	entryLinger = 2500 * time.Millisecond
-	// entryPatience is the time for requests in flight; with entryLinger it
-	// stays within the platform's grace.
-	entryPatience = 3 * time.Second
+	// entryShutdownDelay is how long a stopping entry instance still accepts
+	// requests: the platform probes readiness once a second and stops sending
+	// connections after two failed probes.
+	entryShutdownDelay = 2500 * time.Millisecond
+	// entryShutdownTimeout is the time for requests in flight to finish. Together
+	// with entryShutdownDelay it stays within the platform's grace period.
+	entryShutdownTimeout = 3 * time.Second
 )
 
 // platformEntryCommand runs an entry instance on the platform's machines.
@@ -32,22 +33,22 @@
 
 // Execute implements flags.Commander.
 func (pc *platformEntryCommand) Execute([]string) error {
-	st, lg, err := pc.open("entry")
+	st, lg, err := pc.setup("entry")
 	if err != nil {
 		return err
 	}
-	ctx := stopContext(lg, func() string { return "requests in flight" })
+	ctx := signalContext(lg, func() string { return "requests in flight" })
 	var stopping atomic.Bool
 	go func() {
 		<-ctx.Done()
 		stopping.Store(true)
 	}()
-	err = run.All(ctx, lg, pc.steps(&st, lg, &stopping)...)
+	err = run.All(ctx, lg, pc.components(&st, lg, &stopping)...)
 	_ = lg.Log("level", "info", "msg", "stopped", "err", err)
 	return err
 }
 
-func (pc *platformEntryCommand) steps(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Component {
+func (pc *platformEntryCommand) components(st *platform.Settings, lg log.Logger, stopping *atomic.Bool) []weir.Component {
 	self := peer.Identity{ID: st.PeerAddress(), Role: "entry", Zone: string(st.Zone)}
 	lks := &links.Links{Self: self, Token: peerToken, Logger: lg, NoRaft: true}
 	ros := &roster.Roster{Self: self.ID, Seeds: st.SeedPeers(), Links: lks, Logger: lg}
@@ -56,11 +57,11 @@
 	return []weir.Component{
 		lks,
 		ros,
-		pc.watch(lg, ros),
-		metricsStep(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
+		pc.watchSettings(lg, ros),
+		platformMetricsListener(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
 		&ops.Listener{
 			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewCallerHandler(rly, lg),
-			ShutdownDelay: entryLinger, ShutdownTimeout: entryPatience,
+			ShutdownDelay: entryShutdownDelay, ShutdownTimeout: entryShutdownTimeout,
 		},
 		&ops.Listener{Name: "readiness", Addr: st.Bind.Ready, Handler: platform.NewReadinessHandler(ready)},
 	}
