--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -15,15 +15,17 @@
 	"github.com/google/uuid"
 )
 
-// remote are the flags of commands that call the control processes.
-type remote struct {
+// controlFlags are the flags of commands that send requests to the control
+// processes.
+type controlFlags struct {
 	Controls  []string      `long:"control" env:"WEIR_CONTROL_OPS" env-delim:"," required:"true" description:"Operators' address of a control process; repeat for each"`
 	TokenFile string        `long:"token-file" env:"WEIR_TOKEN_FILE" required:"true" description:"File with the operator's token"`
-	Output    string        `long:"output" env:"WEIR_OUTPUT" default:"table" choice:"table" choice:"json" description:"How to print"`
-	Timeout   time.Duration `long:"timeout" env:"WEIR_TIMEOUT" default:"20s" description:"How long to try"`
+	Output    string        `long:"output" env:"WEIR_OUTPUT" default:"table" choice:"table" choice:"json" description:"Output format"`
+	Timeout   time.Duration `long:"timeout" env:"WEIR_TIMEOUT" default:"20s" description:"Time limit of a request, including retries"`
 }
 
-func (rm *remote) client() (*operator.Client, context.Context, context.CancelFunc, error) {
+// newClient returns a client and a context that ends after the timeout.
+func (rm *controlFlags) newClient() (*operator.Client, context.Context, context.CancelFunc, error) {
 	token, err := auth.LoadToken(rm.TokenFile)
 	if err != nil {
 		return nil, nil, nil, err
@@ -33,9 +35,9 @@
 	return cl, ctx, cancel, nil
 }
 
-// get reads a value and prints it, as JSON or by the given function.
-func get[T any](rm *remote, path string, print func(val T)) error {
-	cl, ctx, cancel, err := rm.client()
+// getAndPrint requests a value and prints it, as JSON or with the given function.
+func getAndPrint[T any](rm *controlFlags, path string, print func(val T)) error {
+	cl, ctx, cancel, err := rm.newClient()
 	if err != nil {
 		return err
 	}
@@ -44,10 +46,11 @@
 	if err := retryUnreachable(ctx, func() error { return cl.Get(ctx, path, &val) }); err != nil {
 		return err
 	}
-	return rm.show(val, func() { print(val) })
+	return rm.printValue(val, func() { print(val) })
 }
 
-func (rm *remote) show(val any, print func()) error {
+// printValue prints a value as JSON or with the given function.
+func (rm *controlFlags) printValue(val any, print func()) error {
 	if rm.Output == "json" {
 		return printJSON(val)
 	}
@@ -55,10 +58,10 @@
 	return nil
 }
 
-// command sends a request under its id until it is answered. Sending it again
-// is safe: the first answer is given again.
-func (rm *remote) command(path string, body any) error {
-	cl, ctx, cancel, err := rm.client()
+// sendCommand sends a request until a control process responds. Sending it again
+// is safe: a request id that was already processed returns the first response.
+func (rm *controlFlags) sendCommand(path string, body any) error {
+	cl, ctx, cancel, err := rm.newClient()
 	if err != nil {
 		return err
 	}
@@ -68,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		return rm.show(ans, func() {
+		return rm.printValue(ans, func() {
 			if ans.ConfigNumber > 0 {
 				fmt.Printf("accepted as configuration %d (log index %d)\n", ans.ConfigNumber, ans.Index)
 				return
@@ -78,9 +81,9 @@
 	})
 }
 
-const retryPause = 200 * time.Millisecond
+const retryInterval = 200 * time.Millisecond
 
-// retryUnreachable repeats a call while no control process answers.
+// retryUnreachable repeats a call while no control process responds.
 func retryUnreachable(ctx context.Context, call func() error) error {
 	for {
 		err := call()
@@ -90,17 +93,19 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// identified is the request id of a command that changes something.
-type identified struct {
-	RequestID string `long:"request-id" description:"Id under which the request may be sent again; made up if not given"`
+// requestIDFlags is the flag with the request id of a command that makes a change.
+type requestIDFlags struct {
+	RequestID string `long:"request-id" description:"Request id, with which the request may be sent again; generated if not given"`
 }
 
-func (id *identified) id() string {
+// ensureRequestID returns the request id. If none was given, it generates one and
+// prints it to standard error.
+func (id *requestIDFlags) ensureRequestID() string {
 	if id.RequestID == "" {
 		id.RequestID = uuid.NewString()
 		fmt.Fprintln(os.Stderr, "request id:", id.RequestID)
@@ -114,8 +119,9 @@
 	return enc.Encode(val)
 }
 
-// table prints rows in columns.
-func table(header string, rows [][]string) {
+// printTable prints rows in aligned columns. Words of the header are the column
+// names.
+func printTable(header string, rows [][]string) {
 	tab := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tab, strings.ReplaceAll(header, " ", "\t"))
 	for _, row := range rows {
--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -17,35 +17,35 @@
 )
 
 type waveStart struct {
-	remote
-	identified
+	controlFlags
+	requestIDFlags
 	Name     string        `long:"name" required:"true" description:"Name of the wave"`
-	Pools    []string      `long:"pool" description:"Pool to maintain; repeat; all if not given"`
-	Zones    []string      `long:"zone" description:"Zone to maintain; repeat; all if not given"`
-	Parallel int           `long:"parallel" default:"1" description:"Instances under maintenance at one time"`
-	Wait     time.Duration `long:"wait" description:"Wait until the wave has ended, for this long"`
+	Pools    []string      `long:"pool" description:"Pool to maintain; repeat for several; all if not given"`
+	Zones    []string      `long:"zone" description:"Zone to maintain; repeat for several; all if not given"`
+	Parallel int           `long:"parallel" default:"1" description:"Maximum number of instances under maintenance at a time"`
+	Wait     time.Duration `long:"wait" description:"Wait up to this long until the wave has ended"`
 }
 
 // Execute implements flags.Commander.
 func (ws *waveStart) Execute([]string) error {
-	req := operator.CreateWaveRequest{RequestID: ws.id(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
+	req := operator.CreateWaveRequest{RequestID: ws.ensureRequestID(), Wave: command.WaveCreate{Name: ws.Name, MaxParallel: ws.Parallel}}
 	for _, pool := range ws.Pools {
 		req.Wave.Pools = append(req.Wave.Pools, weir.PoolName(pool))
 	}
 	for _, zone := range ws.Zones {
 		req.Wave.Zones = append(req.Wave.Zones, weir.Zone(zone))
 	}
-	if err := ws.command("/v1/waves", req); err != nil {
+	if err := ws.sendCommand("/v1/waves", req); err != nil {
 		return err
 	}
 	if ws.Wait == 0 {
 		return nil
 	}
-	return ws.waitEnd()
+	return ws.waitUntilEnded()
 }
 
-func (ws *waveStart) waitEnd() error {
-	cl, ctx, cancel, err := ws.client()
+func (ws *waveStart) waitUntilEnded() error {
+	cl, ctx, cancel, err := ws.newClient()
 	if err != nil {
 		return err
 	}
@@ -61,16 +61,16 @@
 				}
 			}
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 	return errors.Errorf("wave %s has not ended after %s", ws.Name, ws.Wait)
 }
 
-type waveList struct{ remote }
+type waveList struct{ controlFlags }
 
 // Execute implements flags.Commander.
 func (wl *waveList) Execute([]string) error {
-	return get(&wl.remote, "/v1/waves", func(list []operator.WaveStatus) {
+	return getAndPrint(&wl.controlFlags, "/v1/waves", func(list []operator.WaveStatus) {
 		rows := make([][]string, 0, len(list))
 		for _, wv := range list {
 			end := "-"
@@ -82,13 +82,14 @@
 				strconv.Itoa(len(wv.Stuck)), end,
 			})
 		}
-		table("WAVE STATE TODO ACTIVE DONE STUCK EXPECTED-END", rows)
+		printTable("WAVE STATE TODO ACTIVE DONE STUCK EXPECTED-END", rows)
 	})
 }
 
-type waveSet struct {
-	remote
-	identified
+// waveAction pauses, resumes or aborts a wave.
+type waveAction struct {
+	controlFlags
+	requestIDFlags
 	action string
 	Args   struct {
 		Name string `positional-arg-name:"wave"`
@@ -96,35 +97,35 @@
 }
 
 // Execute implements flags.Commander.
-func (ws *waveSet) Execute([]string) error {
-	return ws.command("/v1/waves/"+url.PathEscape(ws.Args.Name), operator.WaveActionRequest{
-		RequestID: ws.id(), Action: command.WaveAction(ws.action),
+func (ws *waveAction) Execute([]string) error {
+	return ws.sendCommand("/v1/waves/"+url.PathEscape(ws.Args.Name), operator.WaveActionRequest{
+		RequestID: ws.ensureRequestID(), Action: command.WaveAction(ws.action),
 	})
 }
 
-type poolList struct{ remote }
+type poolList struct{ controlFlags }
 
 // Execute implements flags.Commander.
 func (pl *poolList) Execute([]string) error {
-	return get(&pl.remote, "/v1/status", func(ans operator.StatusResponse) {
+	return getAndPrint(&pl.controlFlags, "/v1/status", func(ans operator.StatusResponse) {
 		rows := make([][]string, 0, len(ans.Pools))
 		for _, pol := range ans.Pools {
 			rows = append(rows, []string{
 				string(pol.Name), strconv.Itoa(pol.Size), strconv.Itoa(pol.Available), strconv.Itoa(pol.MinAvailable), strconv.FormatBool(pol.Spare),
 			})
 		}
-		table("POOL SIZE AVAILABLE BUDGET SPARE", rows)
+		printTable("POOL SIZE AVAILABLE BUDGET SPARE", rows)
 	})
 }
 
 type instanceList struct {
-	remote
-	Pool string `long:"pool" description:"Only this pool"`
+	controlFlags
+	Pool string `long:"pool" description:"Show only this pool"`
 }
 
 // Execute implements flags.Commander.
 func (il *instanceList) Execute([]string) error {
-	return get(&il.remote, "/v1/instances", func(list []operator.InstanceStatus) {
+	return getAndPrint(&il.controlFlags, "/v1/instances", func(list []operator.InstanceStatus) {
 		var rows [][]string
 		for _, inst := range list {
 			if il.Pool != "" && string(inst.Pool) != il.Pool {
@@ -134,13 +135,13 @@
 				string(inst.Instance), string(inst.Zone), string(inst.Pool), string(inst.Phase), strconv.FormatBool(inst.Up), inst.Entry,
 			})
 		}
-		table("INSTANCE ZONE POOL PHASE UP ENTRY", rows)
+		printTable("INSTANCE ZONE POOL PHASE UP ENTRY", rows)
 	})
 }
 
 type instanceMove struct {
-	remote
-	identified
+	controlFlags
+	requestIDFlags
 	Args struct {
 		Instance string `positional-arg-name:"instance"`
 		Pool     string `positional-arg-name:"pool"`
@@ -149,15 +150,15 @@
 
 // Execute implements flags.Commander.
 func (im *instanceMove) Execute([]string) error {
-	return im.command("/v1/moves", operator.MoveRequest{
-		RequestID: im.id(), Instance: weir.InstanceID(im.Args.Instance), To: weir.PoolName(im.Args.Pool),
+	return im.sendCommand("/v1/moves", operator.MoveRequest{
+		RequestID: im.ensureRequestID(), Instance: weir.InstanceID(im.Args.Instance), To: weir.PoolName(im.Args.Pool),
 	})
 }
 
 type instanceAbandon struct {
-	remote
-	identified
-	Reason string `long:"reason" description:"Why; kept in the log"`
+	controlFlags
+	requestIDFlags
+	Reason string `long:"reason" description:"Reason, kept in the log"`
 	Args   struct {
 		Instance string `positional-arg-name:"instance"`
 	} `positional-args:"yes" required:"yes"`
@@ -165,14 +166,14 @@
 
 // Execute implements flags.Commander.
 func (ia *instanceAbandon) Execute([]string) error {
-	return ia.command("/v1/instances/"+url.PathEscape(ia.Args.Instance)+"/abandon", operator.AbandonRequest{
-		RequestID: ia.id(), Reason: ia.Reason,
+	return ia.sendCommand("/v1/instances/"+url.PathEscape(ia.Args.Instance)+"/abandon", operator.AbandonRequest{
+		RequestID: ia.ensureRequestID(), Reason: ia.Reason,
 	})
 }
 
 type processForget struct {
-	remote
-	identified
+	controlFlags
+	requestIDFlags
 	Args struct {
 		Process string `positional-arg-name:"process"`
 	} `positional-args:"yes" required:"yes"`
@@ -180,19 +181,19 @@
 
 // Execute implements flags.Commander.
 func (pf *processForget) Execute([]string) error {
-	return pf.command("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetProcessRequest{RequestID: pf.id()})
+	return pf.sendCommand("/v1/processes/"+url.PathEscape(pf.Args.Process)+"/forget", operator.ForgetProcessRequest{RequestID: pf.ensureRequestID()})
 }
 
-type usageCommand struct{ remote }
+type usageCommand struct{ controlFlags }
 
 // Execute implements flags.Commander.
 func (uc *usageCommand) Execute([]string) error {
-	return get(&uc.remote, "/v1/usage", func(ans operator.UsageResponse) {
+	return getAndPrint(&uc.controlFlags, "/v1/usage", func(ans operator.UsageResponse) {
 		rows := make([][]string, 0, len(ans.Lines))
 		for _, line := range ans.Lines {
 			rows = append(rows, usageRow(line))
 		}
-		table("SERVICE TEAM DONE FAILED BUSY-MS", rows)
+		printTable("SERVICE TEAM DONE FAILED BUSY-MS", rows)
 		fmt.Println("settled up to log index", ans.Index, "- reports that are still on their way are not included")
 	})
 }
@@ -205,17 +206,17 @@
 }
 
 type stateDump struct {
-	remote
+	controlFlags
 }
 
 // Execute implements flags.Commander.
 func (sd *stateDump) Execute([]string) error {
 	sd.Output = "json"
-	return get(&sd.remote, "/state", func(any) {})
+	return getAndPrint(&sd.controlFlags, "/state", func(any) {})
 }
 
 type stateLevel struct {
-	remote
+	controlFlags
 	Args struct {
 		Level string `positional-arg-name:"level"`
 	} `positional-args:"yes" required:"yes"`
@@ -223,7 +224,7 @@
 
 // Execute implements flags.Commander.
 func (sl *stateLevel) Execute([]string) error {
-	cl, ctx, cancel, err := sl.client()
+	cl, ctx, cancel, err := sl.newClient()
 	if err != nil {
 		return err
 	}
--- a/cmd/weirctl/job.go
+++ b/cmd/weirctl/job.go
@@ -18,33 +18,34 @@
 	weir "greengageweir"
 )
 
-// jobRemote are the flags of commands that call the processes that take jobs.
-type jobRemote struct {
-	Jobs    []string      `long:"jobs" env:"WEIR_JOBS" env-delim:"," required:"true" description:"Address of a process that takes jobs; repeat for each"`
-	Timeout time.Duration `long:"timeout" env:"WEIR_TIMEOUT" default:"20s" description:"How long to try"`
+// jobFlags are the flags of commands that send requests to the processes that
+// accept jobs.
+type jobFlags struct {
+	Jobs    []string      `long:"jobs" env:"WEIR_JOBS" env-delim:"," required:"true" description:"Address of a process that accepts jobs; repeat for each"`
+	Timeout time.Duration `long:"timeout" env:"WEIR_TIMEOUT" default:"20s" description:"Time limit of a request, including retries"`
 }
 
-func (jr *jobRemote) do(method, path string, body any) (jobhttp.Answer, []byte, error) {
+func (jr *jobFlags) request(method, path string, body any) (jobhttp.Answer, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), jr.Timeout)
 	defer cancel()
 	return (&jobhttp.Client{Addrs: jr.Jobs}).Do(ctx, method, path, body)
 }
 
-// jobRef names a job.
-type jobRef struct {
+// jobRefFlags are the flags that name a job.
+type jobRefFlags struct {
 	Queue string `long:"queue" required:"true" description:"Name of the queue"`
 	ID    string `long:"id" description:"The job's id"`
 }
 
-func (jr *jobRef) path() string {
+func (jr *jobRefFlags) path() string {
 	return "/v1/jobs?" + url.Values{"queue": {jr.Queue}, "id": {jr.ID}}.Encode()
 }
 
 type jobSubmit struct {
-	jobRemote
-	jobRef
+	jobFlags
+	jobRefFlags
 	File string        `long:"file" required:"true" description:"JSON file with the job's text and steps"`
-	Wait time.Duration `long:"wait" description:"Wait until the job has ended, for this long"`
+	Wait time.Duration `long:"wait" description:"Wait up to this long until the job has ended"`
 }
 
 // Execute implements flags.Commander.
@@ -58,24 +59,24 @@
 		return errors.Wrap(err, js.File)
 	}
 	if sub.ID == "" {
-		// The id makes it safe to send the job again.
+		// With an id, sending the job again does not submit it twice.
 		sub.ID = weir.JobID(uuid.NewString())
 		js.ID = string(sub.ID)
 	}
-	if _, _, err := js.do(http.MethodPost, "/v1/jobs", sub); err != nil {
+	if _, _, err := js.request(http.MethodPost, "/v1/jobs", sub); err != nil {
 		return err
 	}
 	fmt.Printf("accepted %s\n", sub.ID)
 	if js.Wait == 0 {
 		return nil
 	}
-	return js.waitEnd()
+	return js.waitUntilEnded()
 }
 
-func (js *jobSubmit) waitEnd() error {
+func (js *jobSubmit) waitUntilEnded() error {
 	begin := time.Now()
 	for {
-		ans, _, err := js.do(http.MethodGet, js.path(), nil)
+		ans, _, err := js.request(http.MethodGet, js.path(), nil)
 		if err != nil {
 			return err
 		}
@@ -89,18 +90,18 @@
 		if time.Since(begin) > js.Wait {
 			return errors.Errorf("job %s is %s after %s", js.ID, ans.Phase, js.Wait)
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(waitPollInterval)
 	}
 }
 
 type jobShow struct {
-	jobRemote
-	jobRef
+	jobFlags
+	jobRefFlags
 }
 
 // Execute implements flags.Commander.
 func (js *jobShow) Execute([]string) error {
-	ans, _, err := js.do(http.MethodGet, js.path(), nil)
+	ans, _, err := js.request(http.MethodGet, js.path(), nil)
 	if err != nil {
 		return err
 	}
@@ -113,13 +114,13 @@
 }
 
 type jobCancel struct {
-	jobRemote
-	jobRef
+	jobFlags
+	jobRefFlags
 }
 
 // Execute implements flags.Commander.
 func (jc *jobCancel) Execute([]string) error {
-	ans, _, err := jc.do(http.MethodDelete, jc.path(), nil)
+	ans, _, err := jc.request(http.MethodDelete, jc.path(), nil)
 	if err == nil {
 		fmt.Println(ans.Phase)
 	}
@@ -127,7 +128,7 @@
 }
 
 type catalogPut struct {
-	jobRemote
+	jobFlags
 	File string `long:"file" required:"true" description:"JSON file with version, queues and pools"`
 }
 
@@ -137,18 +138,18 @@
 	if err != nil {
 		return err
 	}
-	ans, _, err := cp.do(http.MethodPut, "/v1/catalog", json.RawMessage(data))
+	ans, _, err := cp.request(http.MethodPut, "/v1/catalog", json.RawMessage(data))
 	if err == nil {
 		fmt.Println("acknowledged", ans.Reason)
 	}
 	return err
 }
 
-type catalogShow struct{ jobRemote }
+type catalogShow struct{ jobFlags }
 
 // Execute implements flags.Commander.
 func (cs *catalogShow) Execute([]string) error {
-	_, text, err := cs.do(http.MethodGet, "/v1/catalog", nil)
+	_, text, err := cs.request(http.MethodGet, "/v1/catalog", nil)
 	if err == nil {
 		fmt.Println(string(text))
 	}
--- a/cmd/weirctl/main.go
+++ b/cmd/weirctl/main.go
@@ -1,4 +1,4 @@
-// Command weirctl is the operators' client.
+// Command weirctl is the command-line client for operators.
 package main
 
 import (
@@ -8,23 +8,23 @@
 )
 
 func main() {
-	os.Exit(cli.Run("weirctl", "Operators' client of greengageweir.", []cli.Command{
+	os.Exit(cli.Run("weirctl", "Command-line client for operators of greengageweir.", []cli.Command{
 		{Name: "config", Short: "Check, show and change the fleet's configuration", Sub: []cli.Command{
 			{Name: "init", Short: "Write an annotated sample configuration", Data: &configInit{}},
 			{Name: "check", Short: "Check a base file and its overlays", Data: &configCheck{}},
 			{Name: "schema", Short: "Print the JSON Schema of the files", Data: &configSchema{}},
 			{Name: "diff", Short: "Show what applying the files would change", Data: &configDiff{}},
 			{Name: "render", Short: "Show the configuration as one site sees it", Data: &configRender{}},
-			{Name: "apply", Short: "Put the files in force", Data: &configApply{}},
-			{Name: "status", Short: "Show the number in force at each process", Data: &configStatus{}},
-			{Name: "history", Short: "Show the last changes", Data: &configHistory{}},
+			{Name: "apply", Short: "Apply the files", Data: &configApply{}},
+			{Name: "status", Short: "Show the configuration number in force at each process", Data: &configStatus{}},
+			{Name: "history", Short: "Show the most recent changes", Data: &configHistory{}},
 		}},
 		{Name: "wave", Short: "Run maintenance waves", Sub: []cli.Command{
 			{Name: "start", Short: "Create a wave and start it", Data: &waveStart{}},
 			{Name: "list", Short: "Show waves and their progress", Data: &waveList{}},
-			{Name: "pause", Short: "Pause a wave", Data: &waveSet{action: "pause"}},
-			{Name: "resume", Short: "Resume a paused wave", Data: &waveSet{action: "resume"}},
-			{Name: "abort", Short: "Abort a wave", Data: &waveSet{action: "abort"}},
+			{Name: "pause", Short: "Pause a wave", Data: &waveAction{action: "pause"}},
+			{Name: "resume", Short: "Resume a paused wave", Data: &waveAction{action: "resume"}},
+			{Name: "abort", Short: "Abort a wave", Data: &waveAction{action: "abort"}},
 		}},
 		{Name: "pool", Short: "Show pools", Sub: []cli.Command{
 			{Name: "list", Short: "Show sizes, availability and budgets", Data: &poolList{}},
@@ -32,18 +32,18 @@
 		{Name: "instance", Short: "Show and move instances", Sub: []cli.Command{
 			{Name: "list", Short: "Show instances, their pools and phases", Data: &instanceList{}},
 			{Name: "move", Short: "Move an instance to another pool", Data: &instanceMove{}},
-			{Name: "abandon", Short: "Take back a drain that has not completed", Data: &instanceAbandon{}},
+			{Name: "abandon", Short: "Cancel a drain that has not completed", Data: &instanceAbandon{}},
 		}},
 		{Name: "process", Short: "Manage the list of entry instances", Sub: []cli.Command{
-			{Name: "forget", Short: "Forget an entry instance that is gone for good", Data: &processForget{}},
+			{Name: "forget", Short: "Remove an entry instance that has stopped for good", Data: &processForget{}},
 		}},
 		{Name: "job", Short: "Submit, show and cancel jobs", Sub: []cli.Command{
 			{Name: "submit", Short: "Submit a job", Data: &jobSubmit{}},
-			{Name: "show", Short: "Show a job, or how many of a queue wait", Data: &jobShow{}},
+			{Name: "show", Short: "Show a job, or the number of pending jobs of a queue", Data: &jobShow{}},
 			{Name: "cancel", Short: "Cancel a job", Data: &jobCancel{}},
 		}},
 		{Name: "catalog", Short: "Show and change queues and pools of jobs", Sub: []cli.Command{
-			{Name: "put", Short: "Put a version in force", Data: &catalogPut{}},
+			{Name: "put", Short: "Apply a version", Data: &catalogPut{}},
 			{Name: "show", Short: "Show the version in force", Data: &catalogShow{}},
 		}},
 		{Name: "usage", Short: "Show settled usage", Data: &usageCommand{}},
