--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -205,7 +205,8 @@
 
 // drain waits for the context to end and then makes endpoints lease from other
 // entry instances. It returns when the requests that other entry instances placed
-// here have finished, or after maxDrainWait; the links are closed after that.
+// here have finished, at the earliest after minDrainWait and at the latest after
+// maxDrainWait. The links are closed after that.
 func (pr *entryProcess) drain(ctx context.Context) error {
 	<-ctx.Done()
 	pr.table.Stop()
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -34,7 +34,7 @@
 	settingsPollInterval = 5 * time.Second
 )
 
-// platformFlags are the flags of the commands that take their settings from
+// platformFlags are the flags of the commands that read their settings from
 // the platform's file.
 type platformFlags struct {
 	Settings string `long:"settings" description:"Settings file; the path in GREENGAGEWEIR_CONFIG if not given"`
