--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -40,74 +40,74 @@
 mutant one-vote-a-term $R/elect.go 's/free := co.hard.Vote == "" || co.hard.Vote == msg.From/free := true/' ./$R
 mutant vote-is-synced $R/core.go 's/^\tco.hard.Vote = vote$/\tco.hard.Vote = vote\n\treturn/' ./$R
 mutant learner-does-not-vote $R/elect.go 's/grant := co.mayVote(msg) \&\& free/grant := free/' ./$R
-mutant learner-is-not-counted $R/append.go 's/if !co.counts(id, pr) {$/if false {/' ./$R
-mutant check-quorum $R/core.go 's/if !co.quorumHeard(now) {/if false {/' ./$R
+mutant learner-is-not-counted $R/append.go 's/if !co.countsForMajority(id, pr) {$/if false {/' ./$R
+mutant check-quorum $R/core.go 's/if !co.quorumActive(now) {/if false {/' ./$R
 mutant pre-vote $R/elect.go 's/!co.leaderAlive(now) \&\& co.upToDate(msg)$/true/' ./$R
 mutant late-snapshot-keeps-log $R/append.go 's/case co.log.term(snap.Index) == snap.Term:/case false:/' ./$R
-mutant members-one-at-a-time $R/members.go 's/ || setDifference(voters, co.voters()) != 1//' ./$R
-mutant members-settled-first $R/members.go 's/co.history\[len(co.history)-1\].index > co.commit || //' ./$R
-mutant leader-stays-voter $R/members.go 's/!self || setDifference/setDifference/; s/_, self := voters\[co.ID\]; /_ = 0; /' ./$R
+mutant members-one-at-a-time $R/members.go 's/ || symmetricDifference(voters, co.voters()) != 1//' ./$R
+mutant members-settled-first $R/members.go 's/co.membershipHistory\[len(co.membershipHistory)-1\].index > co.commit || //' ./$R
+mutant leader-stays-voter $R/members.go 's/!self || symmetricDifference/symmetricDifference/; s/_, self := voters\[co.ID\]; /_ = 0; /' ./$R
 mutant spare-counts-with-its-disk $R/members.go 's/return voter \&\& (.*$/_ = disk; return voter \&\& !pr.learner/' ./$R
 mutant spare-votes-for-its-set $R/elect.go 's/ || (msg.Disk != "" \&\& msg.Disk == co.hard.Disk)//' ./$R
 J=internal/job
 mutant steps-in-order $J/store/store.go 's/case !js.StepReady(sa.Task.Occurrence, sa.Task.Step):/case false:/' ./$J/store
 mutant no-start-while-draining $J/store/store.go 's/case wk.Draining:/case false:/' ./$J/store
-mutant version-rises $J/store/store.go 's/if ct.Version <= st.Catalog.Version {/if false {/' ./$J/store
+mutant version-rises $J/store/store.go 's/if pk.Version <= st.Packed.Version {/if false {/' ./$J/store
 mutant present-run-only $J/store/store.go 's/tk == nil || tk.Run != en.Run || /tk == nil || /' ./$J/store
-mutant one-operation-a-machine $J/store/workers.go 's/if st.Orders\[op.Machine\] != nil {/if false {/' ./$J/store
-mutant evicted-counts-as-away $J/owner/wave.go 's/re.evicted\[key\] || //' ./$J/owner
-mutant intent-counts-as-away $J/owner/wave.go 's/if at == nil || re.machines.intent\[at.worker.Machine\] {/if at == nil {/' ./$J/owner
-mutant slow-once $J/owner/progress.go 's/ || re.slow\[key.Task\]//' ./$J/owner
+mutant one-operation-a-machine $J/store/workers.go 's/if st.MachineOperations\[op.Machine\] != nil {/if false {/' ./$J/store
+mutant evicted-counts-as-away $J/scheduler/wave.go 's/ls.evicted\[key\] || //' ./$J/scheduler
+mutant intent-counts-as-away $J/scheduler/wave.go 's/if ws == nil || ls.machines.pendingCommit\[ws.worker.Machine\] {/if ws == nil {/' ./$J/scheduler
+mutant slow-once $J/scheduler/progress.go 's/ || ls.stoppedSlow\[key.Task\]//' ./$J/scheduler
 SS=internal/task/session
-mutant silent-worker-gets-no-lease $SS/reports.go 's/if first || !ss.failingAt.IsZero() {/if first {/' ./$SS
+mutant silent-worker-gets-no-lease $SS/reports.go 's/if first || !ss.unreachableSince.IsZero() {/if first {/' ./$SS
 mutant overtaken-answers $SS/decide.go 's/case after(rn.listedAt), /case !rn.listedAt.IsZero(), /' ./$SS
 mutant report-before-verdict $SS/decide.go 's/if last.sentAt.IsZero() {/if false {/' ./$SS
-mutant ends-until-recorded $SS/session.go '/^func (ss \*Session) NotRecorded/,/^}/s/ss.recording = false/ss.recording = true/' ./$SS
-mutant ends-in-order $SS/session.go 's/if ss.recording {/if false {/' ./$SS
-mutant verdict-once $SS/session.go 's/if ss.recording \&\& (vd ==/if false \&\& (vd ==/' ./$SS
-mutant unanswered-start-is-stopped $SS/decide.go 's/case rn.answered.IsZero() \&\& !rn.sentAt.IsZero() \&\& now.Sub(rn.sentAt) < 2\*orderTimeout:/case false:/; s/\tdefault:\n\t\treturn verdictStop/\tdefault:\n\t\treturn verdictLost/' ./$SS
-mutant lost-only-after-stop $SS/decide.go 's/case after(rn.stopAcked):/case !rn.stopSent.IsZero():/' ./$SS
-mutant lease-on-slow-clock $SS/session.go 's|/clockSlack) + lapseMargin|) - 50*time.Millisecond|' ./$SS
-mutant inherited-lease-lapses-later $SS/session.go 's/ss.lapsesBy = ss.LapsesBy/_ = 0/' ./$SS
-mutant start-under-way-is-no-unknown-run internal/job/owner/owner.go 's/if re.starting\[key\] {/if false {/' ./internal/job/owner
-mutant gang-is-whole internal/job/owner/owner.go 's/ \&\& js.Whole(key)//' ./internal/job/owner
+mutant ends-until-recorded $SS/session.go '/^func (ss \*Session) EndsNotCommitted/,/^}/s/ss.committing = false/ss.committing = true/' ./$SS
+mutant ends-in-order $SS/session.go 's/if ss.committing {/if false {/' ./$SS
+mutant verdict-once $SS/session.go 's/if ss.committing \&\& (dec ==/if false \&\& (dec ==/' ./$SS
+mutant unanswered-start-is-stopped $SS/decide.go 's/case rn.answeredAt.IsZero() \&\& !rn.sentAt.IsZero() \&\& now.Sub(rn.sentAt) < 2\*orderTimeout:/case false:/; s/\tdefault:\n\t\treturn decisionStop/\tdefault:\n\t\treturn decisionLost/' ./$SS
+mutant lost-only-after-stop $SS/decide.go 's/case after(rn.stopAckedAt):/case !rn.stopSentAt.IsZero():/' ./$SS
+mutant lease-on-slow-clock $SS/session.go 's|/minClockRate) + leaseExpiryMargin|) - 50*time.Millisecond|' ./$SS
+mutant inherited-lease-lapses-later $SS/session.go 's/ss.leaseExpiry = ss.PriorLeaseExpiry/_ = 0/' ./$SS
+mutant start-under-way-is-no-unknown-run internal/job/scheduler/scheduler.go 's/if ls.pendingStarts\[key\] {/if false {/' ./internal/job/scheduler
+mutant gang-is-whole internal/job/scheduler/scheduler.go 's/ \&\& js.GangComplete(key)//' ./internal/job/scheduler
 mutant gang-ends-once internal/job/store/store.go 's/case tk.Done:/case false:/' ./internal/job/store
 mutant late-word-of-a-worker internal/job/store/workers.go 's/old.Sequence > wk.Sequence/false/' ./internal/job/store
-mutant lasting-tasks-wait internal/schedule/plan/plan.go 's/gr.crowds(on\[wk.ID\]) \&\& tk.waits(now)/false/' ./internal/schedule/plan
-mutant machines-at-the-platforms-rate internal/job/owner/maintain.go 's/ || !md.limit.AllowN(now, 1)//' ./internal/job/owner
-mutant only-the-life-ordered-away $J/owner/maintain.go 's/if !ok || wk.Born != op.Born {/wk, ok = rd.Worker("w2"); if !ok {/' ./$J/owner
-mutant answered-order-is-not-repeated $J/owner/maintain.go 's/changes := \[\]store.Change{{Machine: op}}/delete(re.machines.busy, order.Machine); &/' ./$J/owner
-mutant applies-in-parts $R/core.go 's/, co.applied+maxApply)/)/' ./$R
+mutant lasting-tasks-wait internal/schedule/placement/placement.go 's/gr.exceedsMaxUnavailable(on\[wk.ID\]) \&\& tk.waitsForSpread(now)/false/' ./internal/schedule/placement
+mutant machines-at-the-platforms-rate internal/job/scheduler/machines.go 's/ || !mst.limiter.AllowN(now, 1)//' ./internal/job/scheduler
+mutant only-the-life-ordered-away $J/scheduler/machines.go 's/if !ok || wk.Incarnation != op.Incarnation {/wk, ok = rd.Worker("w2"); if !ok {/' ./$J/scheduler
+mutant answered-order-is-not-repeated $J/scheduler/machines.go 's/changes := \[\]store.Change{{Machine: op}}/delete(ls.machines.inFlight, order.Machine); &/' ./$J/scheduler
+mutant applies-in-parts $R/core.go 's/, co.applied+maxApplyBatch)/)/' ./$R
 mutant commit-within-the-log $R/core.go 's/min(index, co.log.last())/index/' ./$R
-mutant cut-off-follower-asks internal/job/service/service.go 's/return leader != "" \&\& leader != sv.Self/return leader != sv.Self/' ./internal/job/service
+mutant cut-off-follower-asks internal/job/handler/handler.go 's/return leader != "" \&\& leader != sv.Self/return leader != sv.Self/' ./internal/job/handler
 mutant given-up-is-reset internal/link/httpconn/httpconn.go 's/_ = tcp.SetLinger(0)/_ = tcp/' ./internal/link/httpconn
-mutant least-work-first internal/schedule/plan/plan.go 's/cmp.Compare(one.Work, other.Work),//' ./internal/schedule/plan
+mutant least-work-first internal/schedule/placement/placement.go 's/cmp.Compare(one.RemainingWork, other.RemainingWork),//' ./internal/schedule/placement
 mutant torn-tail-is-cut internal/state/wal/wal.go 's/lg.file.Truncate(lg.size)/lg.file.Truncate(info.Size())/' ./internal/state/wal
-mutant damage-is-refused internal/state/wal/wal.go 's/if wholeRecordInside(rest) {/if false {/' ./internal/state/wal
-M=internal/fleet/machine
+mutant damage-is-refused internal/state/wal/wal.go 's/if containsRecord(rest) {/if false {/' ./internal/state/wal
+M=internal/fleet/fsm
 mutant budget $M/drain.go 's/if left < want {/if false {/' ./$M
-mutant consent-of-view $M/drain.go 's/co.View < mem.Since || //' ./$M
+mutant consent-of-view $M/drain.go 's/co.View < mem.SinceIndex || //' ./$M
 mutant consent-of-owner $M/drain.go 's/ || co.Epoch != sta.Epoch || co.Entry != sta.Entry//' ./$M
-mutant expected-number $M/config.go 's/if ca.Expected != st.Number {/if false {/' ./$M
+mutant expected-number $M/config.go 's/if ca.Expected != st.ConfigNumber {/if false {/' ./$M
 mutant request-id $M/machine.go 's/ok \&\& cmd.RequestID != ""/ok \&\& false/' ./$M
 mutant usage-in-sequence $M/report.go 's/rep.Sequence == \*last+1/rep.Sequence > *last/' ./$M
 mutant usage-once $M/report.go 's/if rep.Sequence == \*last+1 {/if true {/' ./$M
 mutant release-needs-new-incarnation $M/drain.go 's/ || sta.Incarnation <= mem.OldIncarnation//' ./$M
 L=internal/entry/ledger
-mutant ledger-floor $L/store.go 's/case !key.Stamp.After(st.floor):/case false:/' ./$L
+mutant ledger-floor $L/store.go 's/case !key.Timestamp.After(st.floor):/case false:/' ./$L
 mutant ledger-majority $L/group.go 's/majority := len(gr.Replicas)\/2 + 1/majority := 1/' ./$L
-mutant forgotten-keys-stay-out $L/store.go 's/ || key.Stamp.Unix()\/60 < st.swept//' ./$L
-mutant slots internal/entry/place/endpoint.go 's/slots-wk.busy-wk.foreign/slots-wk.foreign/' ./internal/entry/place
-mutant slots-of-earlier-owner internal/entry/place/endpoint.go 's/slots-wk.busy-wk.foreign/slots-wk.busy/' ./internal/entry/place
-mutant older-view-is-refused internal/entry/place/announce.go 's/case tb.view.Index < ann.SeenView || tb.view.Index == 0:/case false:/' ./internal/entry/place
-mutant older-lease-is-refused internal/entry/place/announce.go 's/case known \&\& ann.Lease.Before(old.lease):/case known \&\& old == nil:/' ./internal/entry/place
-mutant consent-needs-seen-view internal/entry/place/announce.go 's/ || wk.seen < mem.Since//' ./internal/entry/place
-mutant half-ejected-at-most internal/entry/place/table.go 's/return 2\*(ejected+1) <= len(sq.workers)/return true/' ./internal/entry/place
-mutant unproven-connection internal/link/httpconn/httpconn.go 's/maxAge := ProofAge/maxAge := idleAge/' ./internal/link/httpconn
-mutant answer-needs-length internal/link/httpconn/httpconn.go 's/raw.Header.ContentLength() == noLength/false/' ./internal/link/httpconn
+mutant forgotten-keys-stay-out $L/store.go 's/ || key.Timestamp.Unix()\/60 < st.expiredUntil//' ./$L
+mutant slots internal/entry/placement/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.foreign/' ./internal/entry/placement
+mutant slots-of-earlier-owner internal/entry/placement/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.busy/' ./internal/entry/placement
+mutant older-view-is-refused internal/entry/placement/announce.go 's/case tb.view.Index < ann.SeenView || tb.view.Index == 0:/case false:/' ./internal/entry/placement
+mutant older-lease-is-refused internal/entry/placement/announce.go 's/case known \&\& ann.Lease.Before(old.lease):/case known \&\& old == nil:/' ./internal/entry/placement
+mutant consent-needs-seen-view internal/entry/placement/announce.go 's/ || ep.seenView < mem.SinceIndex//' ./internal/entry/placement
+mutant half-ejected-at-most internal/entry/placement/table.go 's/return 2\*(ejected+1) <= len(sq.endpoints)/return true/' ./internal/entry/placement
+mutant unproven-connection internal/link/httpconn/httpconn.go 's/maxAge := MaxReuseAge/maxAge := idleTimeout/' ./internal/link/httpconn
+mutant answer-needs-length internal/link/httpconn/httpconn.go 's/raw.Header.ContentLength() == noContentLength/false/' ./internal/link/httpconn
 mutant broken-is-not-retried internal/entry/dispatch/dispatch.go 's/if !req.Repeatable || ans.Kind != weir.Unknown {/if ans.Kind != weir.Unknown {/' ./internal/entry/dispatch
 mutant view-never-reverts internal/fleet/view/view.go 's/if eff.Index <= vw.Index {/if false {/' ./internal/control/hub ./internal/fleet/...
-mutant effects-are-chained internal/fleet/view/view.go 's/if eff.After != vw.Index {/if false {/' ./internal/control/hub ./internal/fleet/...
+mutant effects-are-chained internal/fleet/view/view.go 's/if eff.PrevIndex != vw.Index {/if false {/' ./internal/control/hub ./internal/fleet/...
 if [ $MISSED -ne 0 ]; then
   echo "mutants: some rules are not missed"
   exit 1
