--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 GO      ?= go
 BIN     := bin
 VERSION := $(shell git describe --always --dirty 2>/dev/null || echo dev)
-LDFLAGS := -X greengageweir/internal/duty/cli.Version=$(VERSION)
+LDFLAGS := -X greengageweir/internal/common/cli.Version=$(VERSION)
 SEED    ?= 1
 DURATION ?= 60s
 LOAD     ?= small
--- a/cmd/greengageweir/control.go
+++ b/cmd/greengageweir/control.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
+	"greengageweir/internal/common/cli"
 	"greengageweir/internal/contract/platform"
 	"greengageweir/internal/control/hub"
 	"greengageweir/internal/control/operatorapi"
 	"greengageweir/internal/control/reconcile"
 	"greengageweir/internal/control/registry"
 	"greengageweir/internal/control/rpc"
-	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"greengageweir/internal/duty/cli"
+	"greengageweir/internal/common/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -5,10 +5,10 @@
 	"os"
 	"time"
 
+	"greengageweir/internal/common/cli"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/cli"
 	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
--- a/cmd/greengageweir/main.go
+++ b/cmd/greengageweir/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"greengageweir/internal/duty/cli"
+	"greengageweir/internal/common/cli"
 )
 
 func main() {
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"greengageweir/internal/duty/cli"
+	"greengageweir/internal/common/cli"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
--- a/cmd/weirctl/main.go
+++ b/cmd/weirctl/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"greengageweir/internal/duty/cli"
+	"greengageweir/internal/common/cli"
 )
 
 func main() {
