--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"greengageweir/internal/common/cli"
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"greengageweir/internal/common/cli"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/entry/relay"
--- a/cmd/weirstandin/load.go
+++ b/cmd/weirstandin/load.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/duty/settings"
 	"greengageweir/internal/standin/load"
 
--- a/cmd/weirstandin/slopes.go
+++ b/cmd/weirstandin/slopes.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/standin/slopes"
 )
 
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/file"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/standin/worker"
 
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/clock"
 )
 
 var origin = time.Unix(1_800_000_000, 0)
--- a/internal/entry/placement/placement_test.go
+++ b/internal/entry/placement/placement_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/view"
 )
--- a/internal/entry/relay/relay_test.go
+++ b/internal/entry/relay/relay_test.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/member/roster"
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -8,8 +8,8 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -14,10 +14,10 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/duty/errkind"
 )
 
--- a/internal/standin/peaks/peaks.go
+++ b/internal/standin/peaks/peaks.go
@@ -16,9 +16,9 @@
 	"time"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 )
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
--- a/internal/state/node/node_test.go
+++ b/internal/state/node/node_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/state/replica"
 	"greengageweir/internal/state/wal"
 )
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/store"
 
 	weir "greengageweir"
