--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/pkg/errors"
 
--- a/internal/contract/jobhttp/client.go
+++ b/internal/contract/jobhttp/client.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 
 	"github.com/pkg/errors"
 )
--- a/internal/contract/operator/client.go
+++ b/internal/contract/operator/client.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/fleet/command"
 
 	"github.com/pkg/errors"
--- a/internal/contract/platform/platform.go
+++ b/internal/contract/platform/platform.go
@@ -16,7 +16,7 @@
 	"net/http"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	weir "greengageweir"
 )
--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -18,7 +18,7 @@
 	"net/http"
 	"strconv"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/link/httpconn"
 
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -11,10 +11,10 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/control/hub"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
--- a/internal/duty/auth/auth.go
+++ b/internal/duty/auth/auth.go
@@ -15,7 +15,7 @@
 	"path/filepath"
 	"strings"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/labstack/echo/v4"
 )
--- a/internal/duty/logging/logging.go
+++ b/internal/duty/logging/logging.go
@@ -11,7 +11,7 @@
 	"io"
 	"sync/atomic"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/go-kit/log"
 )
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -16,8 +16,8 @@
 	"runtime"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 
--- a/internal/duty/settings/settings.go
+++ b/internal/duty/settings/settings.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 )
 
 // Kind classifies the errors of this package.
--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/caller"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/ledger"
 
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/peer"
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/link/httpconn"
 
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -24,8 +24,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
--- a/internal/entry/placement/placement_test.go
+++ b/internal/entry/placement/placement_test.go
@@ -10,9 +10,9 @@
 
 	weir "greengageweir"
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/view"
 )
 
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -18,9 +18,9 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -11,8 +11,8 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/member/roster"
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -14,9 +14,9 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
--- a/internal/fleet/fsm/machine.go
+++ b/internal/fleet/fsm/machine.go
@@ -16,8 +16,8 @@
 	"sort"
 	"sync"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -11,8 +11,8 @@
 import (
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
-	"greengageweir/internal/duty/errkind"
 )
 
 func TestOlderEffectsAreIgnored(t *testing.T) {
--- a/internal/job/handler/handler.go
+++ b/internal/job/handler/handler.go
@@ -11,8 +11,8 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
 
--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -12,7 +12,7 @@
 	"fmt"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/pkg/errors"
 
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/catalog"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/job/spec"
 
--- a/internal/link/httpconn/httpconn.go
+++ b/internal/link/httpconn/httpconn.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/pkg/errors"
 	"github.com/valyala/fasthttp"
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/common/clock"
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 )
 
 // serveScript starts a server that handles each connection with the given function,
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -17,7 +17,7 @@
 	"encoding/json"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 
 	"github.com/sourcegraph/jsonrpc2"
 )
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"greengageweir/internal/common/clock"
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 )
 
 const testToken = "a-token-of-the-test"
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -14,8 +14,8 @@
 	"context"
 	"sync"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/state/replica"
 
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"sync/atomic"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/standin/taskworker"
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -19,7 +19,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/duty/ops"
 )
 
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 
 	weir "greengageweir"
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/state/replica"
 	"greengageweir/internal/state/wal"
 
--- a/internal/state/replica/types.go
+++ b/internal/state/replica/types.go
@@ -22,7 +22,7 @@
 package replica
 
 import (
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 )
 
 // Kind classifies the errors of this package.
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -25,7 +25,7 @@
 	"strings"
 	"syscall"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/state/replica"
 
 	"github.com/google/uuid"
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/state/replica"
 )
 
