--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/settings"
 
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -7,10 +7,10 @@
 
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"greengageweir/internal/common/cli"
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/duty/logging"
 
 	"github.com/VictoriaMetrics/metrics"
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/invariant"
 
 	weir "greengageweir"
 )
--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
--- a/internal/entry/placement/table.go
+++ b/internal/entry/placement/table.go
@@ -19,9 +19,9 @@
 	"time"
 
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
 
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/config/catalog"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/job/spec"
 
 	weir "greengageweir"
--- a/internal/state/replica/append.go
+++ b/internal/state/replica/append.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 )
 
 // snapshotResend is the minimum time between two snapshots to one follower.
--- a/internal/state/replica/core.go
+++ b/internal/state/replica/core.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 )
 
 const (
--- a/internal/state/replica/members.go
+++ b/internal/state/replica/members.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 )
 
 // membershipEntry is a set of voters and the index of the entry that set it.
