--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/settings"
 
 	"github.com/go-kit/log"
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -11,7 +11,7 @@
 
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/invariant"
-	"greengageweir/internal/duty/logging"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/member/roster"
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/spec"
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/config/file"
-	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/standin/worker"
 
 	weir "greengageweir"
--- a/internal/duty/ops/ops.go
+++ b/internal/duty/ops/ops.go
@@ -18,8 +18,8 @@
 
 	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/logging"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
