--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -8,7 +8,7 @@
 
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/clock"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
 	"greengageweir/internal/entry/callerapi"
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -9,10 +9,10 @@
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
 
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -12,7 +12,7 @@
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/member/roster"
 	"greengageweir/platform"
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"greengageweir/internal/common/clock"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/platform"
 
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -13,10 +13,10 @@
 
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -19,7 +19,7 @@
 	"strconv"
 
 	"greengageweir/internal/common/errkind"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/link/httpconn"
 
 	"github.com/labstack/echo/v4"
--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/caller"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/ledger"
 
 	"github.com/labstack/echo/v4"
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -20,7 +20,7 @@
 	"github.com/labstack/echo/v4"
 
 	"greengageweir/internal/common/errkind"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/ops"
 )
 
 // Kind tells the errors of this package apart.
--- a/internal/standin/worker/host.go
+++ b/internal/standin/worker/host.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/contract/platform"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/duty/run"
 
 	"github.com/go-kit/log"
