--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -9,7 +9,7 @@
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/ops"
-	"greengageweir/internal/duty/run"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/duty/settings"
 	"greengageweir/internal/entry/callerapi"
 	"greengageweir/internal/entry/dispatch"
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -10,10 +10,10 @@
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
 	"greengageweir/internal/common/ops"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/duty/settings"
 
 	"github.com/VictoriaMetrics/metrics"
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -13,7 +13,7 @@
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
 	"greengageweir/internal/common/ops"
-	"greengageweir/internal/duty/run"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/member/roster"
 	"greengageweir/platform"
 
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -6,7 +6,7 @@
 
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/ops"
-	"greengageweir/internal/duty/run"
+	"greengageweir/internal/common/run"
 	"greengageweir/platform"
 
 	"github.com/go-kit/log"
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -6,7 +6,7 @@
 
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/ops"
-	"greengageweir/internal/duty/run"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/entry/relay"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
--- a/internal/control/reconcile/reconcile.go
+++ b/internal/control/reconcile/reconcile.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/link/peer"
 
 	"github.com/go-kit/log"
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -11,8 +11,8 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/fleet/view"
 
--- a/internal/entry/viewsync/subscriber.go
+++ b/internal/entry/viewsync/subscriber.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -16,10 +16,10 @@
 
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -17,8 +17,8 @@
 
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
--- a/internal/standin/worker/host.go
+++ b/internal/standin/worker/host.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"greengageweir/internal/common/ops"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/platform"
-	"greengageweir/internal/duty/run"
 
 	"github.com/go-kit/log"
 	"github.com/labstack/echo/v4"
