--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -10,8 +10,8 @@
 
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/settings"
 
 	"github.com/go-kit/log"
 )
--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -10,7 +10,7 @@
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/ops"
 	"greengageweir/internal/common/run"
-	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/entry/callerapi"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -11,10 +11,10 @@
 	"greengageweir/internal/common/logging"
 	"greengageweir/internal/common/ops"
 	"greengageweir/internal/common/run"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
 	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/settings"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/go-kit/log"
--- a/cmd/weirstandin/load.go
+++ b/cmd/weirstandin/load.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"greengageweir/internal/common/clock"
-	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/standin/load"
 
 	weir "greengageweir"
