--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -8,10 +8,10 @@
 	"syscall"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
 	"greengageweir/internal/common/settings"
-	"greengageweir/internal/duty/auth"
 
 	"github.com/go-kit/log"
 )
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -5,6 +5,7 @@
 	"os"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/common/cli"
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/common/invariant"
@@ -14,7 +15,6 @@
 	"greengageweir/internal/common/settings"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/auth"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/go-kit/log"
--- a/cmd/weirctl/common.go
+++ b/cmd/weirctl/common.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/contract/operator"
-	"greengageweir/internal/duty/auth"
 
 	"github.com/google/uuid"
 )
--- a/internal/common/ops/ops.go
+++ b/internal/common/ops/ops.go
@@ -16,10 +16,10 @@
 	"runtime"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/common/logging"
-	"greengageweir/internal/duty/auth"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -14,10 +14,10 @@
 	"sort"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
 	"greengageweir/internal/control/rpc"
-	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
 
