--- a/internal/job/scheduler/blocking_step_test.go
+++ b/internal/job/scheduler/blocking_step_test.go
@@ -30,7 +30,7 @@
 
 type alwaysLeader struct{}
 
-func (alwaysLeader) Leads() bool { return true }
+func (alwaysLeader) IsLeader() bool { return true }
 
 // threeLongRunningTasks returns a scheduler with sessions to the workers w0, w1
 // and w2, each of which runs one long-running task of the same step. One task of
--- a/internal/job/scheduler/machines.go
+++ b/internal/job/scheduler/machines.go
@@ -242,7 +242,7 @@
 	defer sc.Wake()
 	callCtx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	if !sc.Leadership.Leads() {
+	if !sc.Leadership.IsLeader() {
 		sc.recordMachineResponse(ls, order, nil)
 		return
 	}
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -243,7 +243,7 @@
 func (sc *Scheduler) Ready() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.leader != nil && sc.Leadership.Leads()
+	return sc.leader != nil && sc.Leadership.IsLeader()
 }
 
 // RecordAnnouncement records that a worker announced itself at the time now. It
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -94,7 +94,7 @@
 // alone is the leadership of a log with one member.
 type alone struct{}
 
-func (alone) Leads() bool      { return true }
+func (alone) IsLeader() bool   { return true }
 func (alone) Term() uint64     { return 1 }
 func (alone) LeaderID() string { return "" }
 
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -382,10 +382,10 @@
 	return nd.status.Term
 }
 
-// Leads reports whether this member is the leader and its leader lease has not
+// IsLeader reports whether this member is the leader and its leader lease has not
 // expired. It reads the clock, since the process may have been suspended since
 // the last tick.
-func (nd *Node) Leads() bool {
+func (nd *Node) IsLeader() bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return nd.status.Role == replica.Leader && nd.Clock.Now().Before(nd.leaseUntil)
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -53,7 +53,7 @@
 		ss.markNotSent(order.RunKey)
 		return
 	}
-	if !ss.Leadership.Leads() {
+	if !ss.Leadership.IsLeader() {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -87,7 +87,7 @@
 	}
 	rn.stopSentAt = now
 	ss.enqueue(func(ctx context.Context) {
-		if !ss.Leadership.Leads() {
+		if !ss.Leadership.IsLeader() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -112,7 +112,7 @@
 // percent.
 func (ss *Session) Throttle(key weir.RunKey, percent int) {
 	ss.enqueue(func(ctx context.Context) {
-		if !ss.Leadership.Leads() {
+		if !ss.Leadership.IsLeader() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -22,7 +22,7 @@
 // renewOnce sends one renewal and applies the report. fresh is set if the report
 // lists new ends.
 func (ss *Session) renewOnce(ctx context.Context) (answered, fresh bool) {
-	if !ss.Leadership.Leads() {
+	if !ss.Leadership.IsLeader() {
 		return false, false
 	}
 	ss.mu.Lock()
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -64,7 +64,7 @@
 
 type alwaysLeader struct{}
 
-func (alwaysLeader) Leads() bool { return true }
+func (alwaysLeader) IsLeader() bool { return true }
 
 func newSession(t *testing.T) (*Session, *fakeWorker) {
 	clk := clock.NewManual(time.Unix(100, 0))
--- a/task.go
+++ b/task.go
@@ -143,10 +143,10 @@
 	Forget(address string)
 }
 
-// Leadership tells whether this process may send orders now. Leads reports
+// Leadership tells whether this process may send orders now. IsLeader reports
 // whether it is certainly still the leader.
 type Leadership interface {
-	Leads() bool
+	IsLeader() bool
 }
 
 // MachineState is the state of a machine at its platform.
