--- a/internal/job/scheduler/machine_orders_test.go
+++ b/internal/job/scheduler/machine_orders_test.go
@@ -40,7 +40,7 @@
 
 type firstTermLeader struct{ alwaysLeader }
 
-func (firstTermLeader) Term() uint64 { return 1 }
+func (firstTermLeader) LeaderTerm() uint64 { return 1 }
 
 // withPendingOrders returns a scheduler with 120 pending machine orders: a hundred
 // moves to a standby pool, ten for maintenance and ten moves to an active pool.
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -60,8 +60,8 @@
 // Leadership reports whether this process is certain to lead, and in which term.
 type Leadership interface {
 	weir.Leadership
-	// Term returns the term in which this process leads, 0 if it does not lead.
-	Term() uint64
+	// LeaderTerm returns the term in which this process leads, 0 if it does not lead.
+	LeaderTerm() uint64
 }
 
 // Scheduler places tasks on workers and orders machines while its process leads.
@@ -184,7 +184,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if term := sc.Leadership.Term(); term != 0 {
+			if term := sc.Leadership.LeaderTerm(); term != 0 {
 				sc.runTerm(ctx, term)
 			}
 		}
@@ -194,7 +194,7 @@
 // runTerm runs scheduling rounds until the term ends.
 func (sc *Scheduler) runTerm(ctx context.Context, term uint64) {
 	// Once an entry of this term is applied, all earlier entries are applied too.
-	if _, err := sc.Committer.Commit(ctx, store.Change{}); err != nil || sc.Leadership.Term() != term {
+	if _, err := sc.Committer.Commit(ctx, store.Change{}); err != nil || sc.Leadership.LeaderTerm() != term {
 		return
 	}
 	leadCtx, cancel := context.WithCancel(ctx)
@@ -215,7 +215,7 @@
 	ticker := time.NewTicker(maxRoundInterval)
 	defer ticker.Stop()
 	all := true
-	for ctx.Err() == nil && sc.Leadership.Term() == term {
+	for ctx.Err() == nil && sc.Leadership.LeaderTerm() == term {
 		begin := sc.Clock.Now()
 		sc.round(leadCtx, ls, begin, all)
 		took := sc.Clock.Now().Sub(begin)
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -42,7 +42,7 @@
 type Log interface {
 	WithCore(ctx context.Context, fn func(now time.Time, core *replica.Core)) error
 	LeaderID() string
-	Term() uint64
+	LeaderTerm() uint64
 }
 
 // Roster is the directory of known replicas. Set the exported fields before Run.
@@ -143,14 +143,14 @@
 	var changed time.Time
 	for ctx.Err() == nil {
 		ro.queryAll(ctx)
-		if ro.Log != nil && ro.Log.Term() != 0 {
+		if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 			changed = ro.reconcileVoters(ctx, changed)
 		}
 		pause := fastQueryInterval
 		if ro.Leader() != "" {
 			pause = slowQueryInterval
 		}
-		if ro.Log != nil && ro.Log.Term() != 0 {
+		if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 			pause = voterChangeInterval
 		}
 		timer := time.NewTimer(pause)
@@ -164,7 +164,7 @@
 }
 
 func (ro *Roster) queryAll(ctx context.Context) {
-	if ro.Log != nil && ro.Log.Term() != 0 {
+	if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 		// The other processes query the leader, which adds them to its directory.
 		return
 	}
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -94,9 +94,9 @@
 // alone is the leadership of a log with one member.
 type alone struct{}
 
-func (alone) IsLeader() bool   { return true }
-func (alone) Term() uint64     { return 1 }
-func (alone) LeaderID() string { return "" }
+func (alone) IsLeader() bool     { return true }
+func (alone) LeaderTerm() uint64 { return 1 }
+func (alone) LeaderID() string   { return "" }
 
 // slowLog commits each entry after the time of a sync.
 type slowLog struct {
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -372,8 +372,8 @@
 	return nd.status
 }
 
-// Term returns the term in which this member is the leader, 0 if it is not.
-func (nd *Node) Term() uint64 {
+// LeaderTerm returns the term in which this member is the leader, 0 if it is not.
+func (nd *Node) LeaderTerm() uint64 {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if nd.status.Role != replica.Leader {
