--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -57,8 +57,8 @@
 	priorLeaderGrace = time.Second
 )
 
-// Leadership reports whether this process is certain to lead, and in which term.
-type Leadership interface {
+// TermLeadership reports whether this process is certain to lead, and in which term.
+type TermLeadership interface {
 	weir.Leadership
 	// LeaderTerm returns the term in which this process leads, 0 if it does not lead.
 	LeaderTerm() uint64
@@ -69,7 +69,7 @@
 type Scheduler struct {
 	Store      *store.Store
 	Committer  *Committer
-	Leadership Leadership
+	Leadership TermLeadership
 	Workers    weir.TaskWorkers
 	// Machines is the platform that maintains and moves machines; nil disables
 	// maintenance and moves.
