--- a/internal/job/scheduler/throttle.go
+++ b/internal/job/scheduler/throttle.go
@@ -74,7 +74,7 @@
 		case step.BestEffort:
 			bestEffort = append(bestEffort, rt.RunKey)
 		case step.LongRunning && step.TargetLatency > 0:
-			worst = max(worst, rt.Rough/float64(step.TargetLatency.Milliseconds()))
+			worst = max(worst, rt.Measurement/float64(step.TargetLatency.Milliseconds()))
 		}
 	}
 	th := ls.throttles[id]
--- a/task.go
+++ b/task.go
@@ -97,10 +97,10 @@
 	// Percent is the progress of a batch task, and 100 for a long-running task
 	// that is working.
 	Percent int
-	// Rough is a rough measurement over the last half second: for a task that
-	// serves users, its tail latency in milliseconds; for others, the processor
-	// use in thousandths of a core.
-	Rough float64
+	// Measurement is a rough measurement over the last half second: the tail
+	// latency in milliseconds of a task that serves users, and the processor use
+	// in thousandths of a core of others.
+	Measurement float64 `json:"Rough"`
 }
 
 // WorkerReport is a worker's report of its running and ended runs.
