--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -135,7 +135,7 @@
 	delete(wk.runs, key)
 	wk.last[key.Task] = max(wk.last[key.Task], key.Run)
 	wk.number++
-	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.number, How: string(how), Checkpoint: checkpoint})
+	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.number, Reason: string(how), Checkpoint: checkpoint})
 	close(wk.ended)
 	wk.ended = make(chan struct{})
 }
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -66,7 +66,7 @@
 	delete(mw.runs, key)
 	mw.last[key.Task] = max(mw.last[key.Task], key.Run)
 	mw.number++
-	mw.ends = append(mw.ends, weir.RunEnd{RunKey: key, Number: mw.number, How: string(how)})
+	mw.ends = append(mw.ends, weir.RunEnd{RunKey: key, Number: mw.number, Reason: string(how)})
 }
 
 // simulation holds the state of one sequence of actions. It is the sessions'
@@ -235,7 +235,7 @@
 
 // checkAcknowledged checks that an acknowledged end is committed.
 func (sm *simulation) checkAcknowledged(en weir.RunEnd) {
-	if en.How != string(store.EndDone) {
+	if en.Reason != string(store.EndDone) {
 		return
 	}
 	sm.doneEnds++
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -113,7 +113,7 @@
 	ctx := context.Background()
 	ss, fw := newSession(t)
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, How: string(store.EndDone)}}
+	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, Reason: string(store.EndDone)}}
 	require.True(t, ss.applyReport(fw.clk.Now(), fw.reports))
 	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
@@ -133,7 +133,7 @@
 	ss, fw := newSession(t)
 	key := func(ix int) weir.RunKey { return weir.RunKey{Task: weir.TaskRef{Job: "a", Index: ix}, Run: 1} }
 	end := func(ix int) weir.RunEnd {
-		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), How: string(store.EndDone)}
+		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), Reason: string(store.EndDone)}
 	}
 	placed := []PlacedRun{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
 	ss.applyReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
--- a/task.go
+++ b/task.go
@@ -85,8 +85,8 @@
 	RunKey
 	// Number increases by one with each end on one incarnation of the worker.
 	Number int64
-	// How is the reason of the end, an EndReason of internal/job/store.
-	How        string
+	// Reason is the reason of the end, an EndReason of internal/job/store.
+	Reason     string `json:"How"`
 	Checkpoint string
 }
 
