--- a/internal/job/scheduler/blocking_step_test.go
+++ b/internal/job/scheduler/blocking_step_test.go
@@ -56,7 +56,7 @@
 		apply(store.Change{Join: &wk})
 		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Incarnation: 1}})
 		ss := &session.Session{
-			Worker: weir.WorkerIncarnation{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {},
+			Worker: weir.WorkerIncarnation{ID: wk.ID, Incarnation: 1}, Lease: time.Second, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: staticWorkers{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
 				Clock: time.Hour, Born: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
 			}}},
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -53,7 +53,7 @@
 	ls := &leaderState{sessions: map[weir.InstanceID]*workerSession{}, pendingStarts: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	ws := &workerSession{worker: store.Worker{ID: "w0", Incarnation: 1}}
 	ws.session = &session.Session{
-		Worker: weir.WorkerIncarnation{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
+		Worker: weir.WorkerIncarnation{ID: "w0", Incarnation: 1}, Lease: time.Minute, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
 	require.NoError(t, ws.session.Default())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -355,7 +355,7 @@
 	ssCtx, cancel := context.WithCancel(ctx)
 	ws := &workerSession{worker: wk, cancel: cancel, announcedAt: now}
 	ws.session = &session.Session{
-		Worker: weir.WorkerIncarnation{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
+		Worker: weir.WorkerIncarnation{ID: wk.ID, Incarnation: wk.Incarnation, Address: wk.Address},
 		Token:  ls.term, Lease: sc.Lease, Workers: sc.Workers, Leadership: sc.Leadership, Clock: sc.Clock, Logger: sc.Logger,
 		PriorLeaseExpiry: ls.since.Add(priorLeaderGrace + sc.Lease + sc.Lease/20),
 	}
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -142,7 +142,7 @@
 
 // admit checks whom an order is for and from; it runs with the lock held.
 func (wk *Worker) admit(life weir.WorkerIncarnation, token uint64) weir.Refusal {
-	if life.ID != wk.ID || life.Born != wk.Born {
+	if life.ID != wk.ID || life.Incarnation != wk.Born {
 		return weir.RefusedIncarnation
 	}
 	if token < wk.token {
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -117,7 +117,7 @@
 	sm.sessions = nil
 	for _, mw := range sm.workers {
 		ss := &Session{
-			Worker: weir.WorkerIncarnation{ID: mw.id, Born: 1}, Token: sm.term, Lease: exploreLease, Workers: sm, Leadership: alwaysLeader{}, Clock: sm.clk,
+			Worker: weir.WorkerIncarnation{ID: mw.id, Incarnation: 1}, Token: sm.term, Lease: exploreLease, Workers: sm, Leadership: alwaysLeader{}, Clock: sm.clk,
 			Logger: log.NewNopLogger(), OnChange: func() {}, PriorLeaseExpiry: sm.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
 		}
 		require.NoError(sm.t, ss.Default())
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -70,7 +70,7 @@
 	clk := clock.NewManual(time.Unix(100, 0))
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
-		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: alwaysLeader{},
+		Worker: weir.WorkerIncarnation{ID: "w1", Incarnation: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: alwaysLeader{},
 		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
--- a/task.go
+++ b/task.go
@@ -32,9 +32,9 @@
 // WorkerIncarnation identifies one incarnation of a worker and its address.
 type WorkerIncarnation struct {
 	ID InstanceID
-	// Born is the incarnation: the start time in milliseconds since 1970.
-	Born    int64
-	Address string
+	// Incarnation is the incarnation: the start time in milliseconds since 1970.
+	Incarnation int64 `json:"Born"`
+	Address     string
 }
 
 // RunOrder is an order to start a run.
