--- a/internal/job/scheduler/blocking_step_test.go
+++ b/internal/job/scheduler/blocking_step_test.go
@@ -58,7 +58,7 @@
 		ss := &session.Session{
 			Worker: weir.WorkerIncarnation{ID: wk.ID, Incarnation: 1}, Lease: time.Second, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: staticWorkers{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
-				Clock: time.Hour, Born: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
+				Clock: time.Hour, Incarnation: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
 			}}},
 		}
 		require.NoError(t, ss.Default())
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -29,7 +29,7 @@
 }
 
 func (wk *fakeWorker) Renew(context.Context, weir.WorkerIncarnation, weir.RenewOrder) (weir.WorkerReport, error) {
-	return weir.WorkerReport{Clock: time.Hour, Born: 1, Running: wk.running}, nil
+	return weir.WorkerReport{Clock: time.Hour, Incarnation: 1, Running: wk.running}, nil
 }
 
 func (wk *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -309,7 +309,7 @@
 
 func (wk *Worker) report() weir.WorkerReport {
 	now := wk.Clock.Now()
-	rep := weir.WorkerReport{Clock: now.Sub(wk.origin), Born: wk.Born, Ends: slices.Clone(wk.ends)}
+	rep := weir.WorkerReport{Clock: now.Sub(wk.origin), Incarnation: wk.Born, Ends: slices.Clone(wk.ends)}
 	for key, rn := range wk.runs {
 		rep.Running = append(rep.Running, weir.RunningTask{
 			RunKey: key, Percent: rn.percent(now), Checkpoint: strconv.FormatInt(int64(rn.worked(now).Truncate(time.Second)), 10),
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -226,7 +226,7 @@
 			mw.ends = mw.ends[1:]
 		}
 	}
-	rep := weir.WorkerReport{Clock: mw.clock(now), Born: 1, Ends: append([]weir.RunEnd(nil), mw.ends...)}
+	rep := weir.WorkerReport{Clock: mw.clock(now), Incarnation: 1, Ends: append([]weir.RunEnd(nil), mw.ends...)}
 	for key := range mw.runs {
 		rep.Running = append(rep.Running, weir.RunningTask{RunKey: key})
 	}
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -93,7 +93,7 @@
 func (ss *Session) applyReport(sentAt time.Time, rep weir.WorkerReport) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	if rep.Born != 0 && rep.Born != ss.Worker.Incarnation {
+	if rep.Incarnation != 0 && rep.Incarnation != ss.Worker.Incarnation {
 		ss.otherIncarnation = true
 		return true
 	}
--- a/task.go
+++ b/task.go
@@ -106,9 +106,9 @@
 // WorkerReport is a worker's report of its running and ended runs.
 type WorkerReport struct {
 	// Clock is the reading of the worker's monotonic clock.
-	Clock   time.Duration
-	Born    int64
-	Running []RunningTask
+	Clock       time.Duration
+	Incarnation int64 `json:"Born"`
+	Running     []RunningTask
 	// Ends holds the ends that were not acknowledged yet, oldest first.
 	Ends []RunEnd
 }
