--- a/internal/contract/taskapi/taskapi.go
+++ b/internal/contract/taskapi/taskapi.go
@@ -51,7 +51,7 @@
 
 type request struct {
 	Worker  weir.WorkerIncarnation `json:"life"`
-	Order   *weir.RunOrder         `json:"order,omitempty"`
+	Order   *weir.StartOrder       `json:"order,omitempty"`
 	Renew   *weir.RenewOrder       `json:"renew,omitempty"`
 	Key     weir.RunKey            `json:"key,omitzero"`
 	Percent int                    `json:"percent,omitempty"`
@@ -88,7 +88,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (cl *Client) Start(ctx context.Context, worker weir.WorkerIncarnation, order weir.RunOrder) (ans weir.OrderResponse, err error) {
+func (cl *Client) Start(ctx context.Context, worker weir.WorkerIncarnation, order weir.StartOrder) (ans weir.OrderResponse, err error) {
 	err = cl.post(ctx, startPath, request{Worker: worker, Order: &order}, &ans)
 	return ans, err
 }
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -104,7 +104,7 @@
 	if js.Task(pl.Task) == nil || !js.GangComplete(key) {
 		return
 	}
-	order := weir.RunOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
+	order := weir.StartOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
 	if ad := ls.advice[pl.Task.StepRef()]; ad != nil {
 		order.Ticket = ad.tickets[pl.Worker]
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -53,7 +53,7 @@
 type Fleet struct {
 	Clock weir.Clock
 	// Task tells what a run does when it begins; it must not block.
-	Task func(order weir.RunOrder) taskworker.Task
+	Task func(order weir.StartOrder) taskworker.Task
 	// Announce tells of a worker that has come up.
 	Announce func(wk store.Worker)
 	// Standby names the pool whose machines are off.
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -40,7 +40,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (fl *Fleet) Start(ctx context.Context, life weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	return call(fl, life, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
 		ans, err := wk.Start(ctx, life, order)
 		if ans.Refusal == weir.RefusedCapacity {
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -189,7 +189,7 @@
 }
 
 // task tells what a run does, and notes when its job began.
-func (sg *stage) task(order weir.RunOrder) taskworker.Task {
+func (sg *stage) task(order weir.StartOrder) taskworker.Task {
 	sg.note(order.Task, sg.clock.Now())
 	out := taskworker.Task{Need: sg.needs[order.Task.Job][order.Task.Step].Reserved(), Lasts: true}
 	if pd, ok := sg.lengths[order.Task.Job]; ok {
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -89,7 +89,7 @@
 	Clock weir.Clock
 	// Task tells what a run does when it begins; nil reads its length from the
 	// order's text. It must not block.
-	Task func(order weir.RunOrder) Task
+	Task func(order weir.StartOrder) Task
 	// Room bounds what runs at a time; the zero value bounds nothing.
 	Room spec.Resources
 
@@ -159,7 +159,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	now := wk.lock()
 	defer wk.mu.Unlock()
 	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
@@ -179,7 +179,7 @@
 	return ans, nil
 }
 
-func (wk *Worker) begin(now time.Time, order weir.RunOrder) weir.Refusal {
+func (wk *Worker) begin(now time.Time, order weir.StartOrder) weir.Refusal {
 	rn := &running{began: now, from: resume(order.Checkpoint), Task: Task{Length: length(order.Text)}}
 	if wk.Task != nil {
 		rn.Task = wk.Task(order)
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -104,7 +104,7 @@
 func (sm *simulation) place(ix, run int, ft orderOutcome) {
 	key := weir.RunKey{Task: exploredTask, Run: run}
 	if sm.apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: run, Worker: sm.workers[ix].id, Incarnation: 1}}) {
-		sm.sessions[ix].Start(weir.RunOrder{RunKey: key})
+		sm.sessions[ix].Start(weir.StartOrder{RunKey: key})
 		sm.sendOrders(sm.sessions[ix], ft)
 	}
 }
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -151,7 +151,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (sm *simulation) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (sm *simulation) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	mw := sm.worker(inc)
 	return sm.deliver(func() weir.OrderResponse {
 		now := sm.clk.Now()
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -10,7 +10,7 @@
 )
 
 // Start queues the order to start a run. The placement must be committed before.
-func (ss *Session) Start(order weir.RunOrder) {
+func (ss *Session) Start(order weir.StartOrder) {
 	ss.mu.Lock()
 	ss.runs[order.RunKey] = &runState{sentAt: ss.Clock.Now()}
 	ss.mu.Unlock()
@@ -38,7 +38,7 @@
 	ss.OnChange()
 }
 
-func (ss *Session) sendStart(ctx context.Context, order weir.RunOrder) {
+func (ss *Session) sendStart(ctx context.Context, order weir.StartOrder) {
 	ss.mu.Lock()
 	rn := ss.runs[order.RunKey]
 	skip := rn == nil || rn.unwanted || ss.otherIncarnation || !ss.unreachableSince.IsZero()
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -48,7 +48,7 @@
 	return rep, nil
 }
 
-func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.starts = append(fw.starts, order.RunKey)
@@ -154,7 +154,7 @@
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	ss.Start(weir.RunOrder{RunKey: key})
+	ss.Start(weir.StartOrder{RunKey: key})
 	ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
 	for len(ss.orders) > 0 {
 		(<-ss.orders)(context.Background())
@@ -197,7 +197,7 @@
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	ss.Start(weir.RunOrder{RunKey: key})
+	ss.Start(weir.StartOrder{RunKey: key})
 	renewalSent := fw.clk.Now()
 	fw.clk.Advance(100 * time.Millisecond)
 	requestSent := fw.clk.Now()
--- a/task.go
+++ b/task.go
@@ -37,8 +37,8 @@
 	Address     string
 }
 
-// RunOrder is an order to start a run.
-type RunOrder struct {
+// StartOrder is an order to start a run.
+type StartOrder struct {
 	RunKey
 	// Text is the job's text, as the caller submitted it.
 	Text string
@@ -134,7 +134,7 @@
 // TaskWorkers sends orders to workers. An error means that the order may have
 // been executed, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, worker WorkerIncarnation, order RunOrder) (OrderResponse, error)
+	Start(ctx context.Context, worker WorkerIncarnation, order StartOrder) (OrderResponse, error)
 	Stop(ctx context.Context, worker WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
 	Renew(ctx context.Context, worker WorkerIncarnation, order RenewOrder) (WorkerReport, error)
 	// Throttle limits a run to a share of its speed, from 0 to 100 percent.
