--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -91,7 +91,7 @@
 	}
 	str.OnApplied = sch.Wake
 	lr.handler = &handler.Handler{
-		Self: self.ID, Store: str, Committer: com, Owner: sch, Leader: lr.node, Links: lks, Clock: bootClock, Wall: wallClock, Logger: lg,
+		Self: self.ID, Store: str, Committer: com, Scheduler: sch, Leader: lr.node, Links: lks, Clock: bootClock, Wall: wallClock, Logger: lg,
 	}
 	lr.components = []weir.Component{
 		lks, lr.node, com, sch, lr.roster,
--- a/internal/job/handler/catalog.go
+++ b/internal/job/handler/catalog.go
@@ -46,7 +46,7 @@
 	sv.Store.Read(func(rd store.Reader) { ct = rd.Catalog() })
 	_ = sv.Logger.Log("level", "info", "msg", "configuration", "version", call.Packed.Version, "taken", ans.Applied,
 		"reason", ans.Reason, "packedBytes", len(call.Packed.Data), "inForce", ct.Version, "queues", len(ct.Queues), "pools", len(ct.Pools))
-	sv.Owner.Wake()
+	sv.Scheduler.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
 }
 
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -32,7 +32,7 @@
 	st.Apply(1, data)
 	ask := func(leader fixedLeader, ann store.Worker) jobapi.Reply {
 		sv := &handler.Handler{
-			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
+			Self: "c1", Store: st, Scheduler: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/internal/job/handler/handler.go
+++ b/internal/job/handler/handler.go
@@ -50,7 +50,7 @@
 	Self      string
 	Store     *store.Store
 	Committer *scheduler.Committer
-	Owner     *scheduler.Scheduler
+	Scheduler *scheduler.Scheduler
 	Leader    LeaderTracker
 	Links     *links.Links
 	Clock     weir.Clock
@@ -129,7 +129,7 @@
 func (sv *Handler) route(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	until := sv.Clock.Now().Add(leaderWait)
 	for {
-		if sv.Owner.Ready() {
+		if sv.Scheduler.Ready() {
 			rep := sv.handleAsLeader(ctx, call)
 			rep.Leader = sv.Self
 			return rep
@@ -248,7 +248,7 @@
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "job accepted", "job", jb.ID, "queue", jb.Queue, "steps", len(jb.Steps),
 		"tasks", jb.Tasks(), "lasting", jb.LongRunning(), "times", jb.OccurrenceCount)
-	sv.Owner.Wake()
+	sv.Scheduler.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Queued}
 }
 
@@ -310,7 +310,7 @@
 		return *failed
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "job cancelled", "job", id)
-	sv.Owner.WakeJob(id)
+	sv.Scheduler.WakeJob(id)
 	return jobapi.Reply{Outcome: jobapi.OK, Phase: store.Cancelled}
 }
 
@@ -318,7 +318,7 @@
 // worker's state.
 func (sv *Handler) announce(ctx context.Context, call jobapi.Call) jobapi.Reply {
 	ann := call.Worker
-	if !sv.Owner.RecordAnnouncement(*ann, sv.Clock.Now()) {
+	if !sv.Scheduler.RecordAnnouncement(*ann, sv.Clock.Now()) {
 		return jobapi.Reply{Outcome: jobapi.OK, Reason: "out of date"}
 	}
 	if sv.announcementKnown(*ann) {
@@ -332,18 +332,18 @@
 	_ = sv.Logger.Log("level", "info", "msg", "worker announced", "worker", wk.ID, "born", wk.Incarnation, "pool", wk.Pool,
 		"address", wk.Address, "machine", wk.Machine, "rack", wk.Rack, "draining", wk.Draining, "taken", ans.Applied,
 		"reason", ans.Reason)
-	sv.Owner.Wake()
+	sv.Scheduler.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK, Reason: ans.Reason}
 }
 
 // depart removes a worker that announced its shutdown.
 func (sv *Handler) depart(ctx context.Context, call jobapi.Call) jobapi.Reply {
-	known, err := sv.Owner.DeregisterWorker(ctx, call.Worker.ID)
+	known, err := sv.Scheduler.DeregisterWorker(ctx, call.Worker.ID)
 	if err != nil {
 		return commitFailure(err)
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "worker departed", "worker", call.Worker.ID, "known", known)
-	sv.Owner.Wake()
+	sv.Scheduler.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
@@ -356,7 +356,7 @@
 	}
 	_ = sv.Logger.Log("level", "info", "msg", "wave accepted", "wave", call.Wave.Number,
 		"machines", len(call.Wave.Machines), "atOnce", call.Wave.MaxParallel, "deadline", call.Wave.Deadline)
-	sv.Owner.Wake()
+	sv.Scheduler.Wake()
 	return jobapi.Reply{Outcome: jobapi.OK}
 }
 
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -93,7 +93,7 @@
 	}
 	str.OnApplied = own.Wake
 	svc := &handler.Handler{
-		Self: self, Store: str, Committer: com, Owner: own, Leader: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
+		Self: self, Store: str, Committer: com, Scheduler: own, Leader: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -183,7 +183,7 @@
 	sg.store.Clock = sg.clock
 	sg.store.OnApplied = own.Wake
 	sg.service = &handler.Handler{
-		Store: sg.store, Committer: com, Owner: own, Leader: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+		Store: sg.store, Committer: com, Scheduler: own, Leader: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
 	}
 	return []weir.Component{com, own}
 }
