--- a/cmd/weirctl/job.go
+++ b/cmd/weirctl/job.go
@@ -25,7 +25,7 @@
 	Timeout time.Duration `long:"timeout" env:"WEIR_TIMEOUT" default:"20s" description:"Time limit of a request, including retries"`
 }
 
-func (jr *jobFlags) request(method, path string, body any) (jobhttp.Answer, []byte, error) {
+func (jr *jobFlags) request(method, path string, body any) (jobhttp.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), jr.Timeout)
 	defer cancel()
 	return (&jobhttp.Client{Addrs: jr.Jobs}).Do(ctx, method, path, body)
--- a/internal/contract/jobhttp/client.go
+++ b/internal/contract/jobhttp/client.go
@@ -39,10 +39,10 @@
 
 // Do sends a body as JSON and returns the decoded answer and its text. An outcome
 // that no retry can change is an error of KindRefused.
-func (cl *Client) Do(ctx context.Context, method, path string, body any) (Answer, []byte, error) {
+func (cl *Client) Do(ctx context.Context, method, path string, body any) (Response, []byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return Answer{}, nil, &Error{Op: path, Kind: KindFormat, Err: err}
+		return Response{}, nil, &Error{Op: path, Kind: KindFormat, Err: err}
 	}
 	var lastErr error = &Error{Op: path, Kind: KindUnreachable}
 	for {
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Answer{}, nil, lastErr
+			return Response{}, nil, lastErr
 		case <-time.After(retryPause):
 		}
 	}
@@ -70,25 +70,25 @@
 // callTimeout is the time limit for one process before the next is tried.
 const callTimeout = 2 * time.Second
 
-func (cl *Client) callOnce(ctx context.Context, method, addr, path string, data []byte) (Answer, []byte, error) {
+func (cl *Client) callOnce(ctx context.Context, method, addr, path string, data []byte) (Response, []byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(callCtx, method, "http://"+addr+path, bytes.NewReader(data))
 	if err != nil {
-		return Answer{}, nil, err
+		return Response{}, nil, err
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Answer{}, nil, err
+		return Response{}, nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return Answer{}, nil, err
+		return Response{}, nil, err
 	}
-	var ans Answer
+	var ans Response
 	if err := json.Unmarshal(text, &ans); err != nil {
-		return Answer{}, nil, err
+		return Response{}, nil, err
 	}
 	return ans, text, nil
 }
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -152,8 +152,8 @@
 	MaxParallel    int      `json:"atOnce"`
 }
 
-// Answer is the body of every response but that of GET /v1/catalog.
-type Answer struct {
+// Response is the body of every response but that of GET /v1/catalog.
+type Response struct {
 	Outcome jobapi.Outcome `json:"outcome"`
 	Reason  string         `json:"reason,omitempty"`
 	Phase   store.Phase    `json:"phase,omitempty"`
@@ -205,7 +205,7 @@
 
 func writeReply(ctx echo.Context, rep jobapi.Reply) error {
 	rep.SetRetryAfter(ctx.Response().Header())
-	return ctx.JSON(rep.Outcome.HTTPStatus(), Answer{
+	return ctx.JSON(rep.Outcome.HTTPStatus(), Response{
 		Outcome: rep.Outcome, Reason: rep.Reason, Phase: rep.Phase, Pending: rep.Pending, Done: rep.Done,
 	})
 }
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -114,14 +114,14 @@
 	}
 }
 
-func (sy *system) do(method, path string, body any) (jobhttp.Answer, error) {
+func (sy *system) do(method, path string, body any) (jobhttp.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	ans, _, err := sy.cl.Do(ctx, method, path, body)
 	return ans, err
 }
 
-func (sy *system) mustDo(method, path string, body any) jobhttp.Answer {
+func (sy *system) mustDo(method, path string, body any) jobhttp.Response {
 	ans, err := sy.do(method, path, body)
 	require.NoError(sy.t, err)
 	return ans
