--- a/internal/job/spec/spec.go
+++ b/internal/job/spec/spec.go
@@ -31,8 +31,8 @@
 // The limits of one job, which keep it small enough for one entry of the
 // replicated log.
 const (
-	// MaxText is the maximum length of Job.Text in bytes.
-	MaxText = 4000
+	// MaxTextBytes is the maximum length of Job.Text in bytes.
+	MaxTextBytes = 4000
 	// MaxSteps and MaxTasks limit the state kept for one job; MaxTasks applies to
 	// one occurrence.
 	MaxSteps = 256
@@ -180,8 +180,8 @@
 
 // Check returns an error of KindInvalid for the first problem of the job.
 func (jb Job) Check() error {
-	if len(jb.Text) > MaxText {
-		return invalid("text has %d bytes, at most %d", len(jb.Text), MaxText)
+	if len(jb.Text) > MaxTextBytes {
+		return invalid("text has %d bytes, at most %d", len(jb.Text), MaxTextBytes)
 	}
 	if len(jb.Steps) == 0 || len(jb.Steps) > MaxSteps {
 		return invalid("%d steps, want 1 to %d", len(jb.Steps), MaxSteps)
