--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -29,8 +29,8 @@
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Advice describes the adviser of a queue.
-type Advice struct {
+// AdviserSettings describes the adviser of a queue.
+type AdviserSettings struct {
 	// Base is its response time without any worker, PerWorker the additional
 	// time for each worker in a call.
 	Base      time.Duration `json:"base,omitempty"`
@@ -55,7 +55,7 @@
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
 	// Advice is set if an adviser decides which workers may run a step.
-	Advice *Advice `json:"advice,omitempty"`
+	Advice *AdviserSettings `json:"advice,omitempty"`
 }
 
 // Key identifies the queue across versions of the configuration.
