--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -54,8 +54,8 @@
 	Stretch       float64       `json:"stretch"`
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
-	// Advice is set if an adviser decides which workers may run a step.
-	Advice *AdviserSettings `json:"advice,omitempty"`
+	// Adviser is set if an adviser decides which workers may run a step.
+	Adviser *AdviserSettings `json:"advice,omitempty"`
 }
 
 // Key identifies the queue across versions of the configuration.
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -85,7 +85,7 @@
 			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
 		if ad := qu.Advice; ad != nil {
-			queue.Advice = &catalog.AdviserSettings{
+			queue.Adviser = &catalog.AdviserSettings{
 				Base: millis(ad.BaseMillis), PerWorker: millis(ad.PerWorkerMillis), Validity: millis(ad.ValidityMillis),
 			}
 		}
--- a/internal/job/scheduler/advice.go
+++ b/internal/job/scheduler/advice.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	ls.adviceInFlight = true
-	wait := adviceTimeout + qu.Advice.Base + time.Duration(len(workers))*qu.Advice.PerWorker
+	wait := adviceTimeout + qu.Adviser.Base + time.Duration(len(workers))*qu.Adviser.PerWorker
 	go sc.queryAdviser(ctx, ls, step, workers, wait)
 	return nil
 }
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -166,7 +166,7 @@
 					continue
 				}
 				gr.RemainingWork = remainingWork(js, oc)
-				if qu.Advice != nil {
+				if qu.Adviser != nil {
 					if gr.AllowedWorkers = sc.tickets(ctx, ls, rd, gr.Step, qu); gr.AllowedWorkers == nil {
 						continue
 					}
