--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -55,13 +55,13 @@
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
 	// Advice is set if the adviser decides which workers may run a step.
-	Advice *Advice `json:"advice,omitempty"`
+	Advice *AdviserSettings `json:"advice,omitempty"`
 }
 
-// Advice describes the adviser: its response time is BaseMillis plus
+// AdviserSettings describes the adviser: its response time is BaseMillis plus
 // PerWorkerMillis for each worker in the call, and its tickets are valid for
 // ValidityMillis.
-type Advice struct {
+type AdviserSettings struct {
 	BaseMillis      int64 `json:"baseMillis"`
 	PerWorkerMillis int64 `json:"perWorkerMillis"`
 	ValidityMillis  int64 `json:"validityMillis"`
