--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -54,8 +54,8 @@
 	Stretch       float64       `json:"stretch"`
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
-	// Advice is set if the adviser decides which workers may run a step.
-	Advice *AdviserSettings `json:"advice,omitempty"`
+	// Adviser is set if the adviser decides which workers may run a step.
+	Adviser *AdviserSettings `json:"advice,omitempty"`
 }
 
 // AdviserSettings describes the adviser: its response time is BaseMillis plus
@@ -84,7 +84,7 @@
 			Name: qu.Name, Host: queueHost, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
 			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
-		if ad := qu.Advice; ad != nil {
+		if ad := qu.Adviser; ad != nil {
 			queue.Adviser = &catalog.AdviserSettings{
 				Base: millis(ad.BaseMillis), PerWorker: millis(ad.PerWorkerMillis), Validity: millis(ad.ValidityMillis),
 			}
