--- a/internal/job/scheduler/ends.go
+++ b/internal/job/scheduler/ends.go
@@ -80,14 +80,14 @@
 // that the worker reported for its runs are kept.
 func (sc *Scheduler) leaveChanges(ls *leaderState, rd store.Reader, wk store.Worker, reason string) []store.Change {
 	var changes []store.Change
-	for key := range rd.Runs(wk.ID) {
+	for key := range rd.WorkerRuns(wk.ID) {
 		_ = sc.Logger.Log("level", "info", "msg", "run lost with its worker", "job", key.Task.Job, "task", key.Task,
 			"run", key.Run, "worker", wk.ID, "reason", reason)
 	}
 	if ws := ls.sessions[wk.ID]; ws != nil && ws.worker.Incarnation == wk.Incarnation {
 		_, running := ws.session.Running()
 		for _, rt := range running {
-			if _, here := rd.Runs(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
+			if _, here := rd.WorkerRuns(wk.ID)[rt.RunKey]; here && rt.Checkpoint != "" {
 				changes = append(changes, store.Change{End: &store.RunEnd{
 					Task: rt.Task, Run: rt.Run, Reason: store.EndLost, Checkpoint: rt.Checkpoint,
 				}})
--- a/internal/job/scheduler/progress.go
+++ b/internal/job/scheduler/progress.go
@@ -91,7 +91,7 @@
 	sc.Store.Read(func(rd store.Reader) {
 		for id, ws := range ls.sessions {
 			reportedAt, running := ws.session.Running()
-			runs := rd.Runs(id)
+			runs := rd.WorkerRuns(id)
 			for _, rt := range running {
 				if _, ok := runs[rt.RunKey]; !ok {
 					continue
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -384,7 +384,7 @@
 	}
 	var placed []session.PlacedRun
 	sc.Store.Read(func(rd store.Reader) {
-		for key := range rd.Runs(id) {
+		for key := range rd.WorkerRuns(id) {
 			if ls.pendingStarts[key] {
 				continue // committed, but not ordered yet
 			}
--- a/internal/job/scheduler/wave.go
+++ b/internal/job/scheduler/wave.go
@@ -155,7 +155,7 @@
 // reports whether such runs are left.
 func (sc *Scheduler) evictCheckpointed(ls *leaderState, rd store.Reader, id weir.InstanceID) bool {
 	left := false
-	for key := range rd.Runs(id) {
+	for key := range rd.WorkerRuns(id) {
 		step := rd.Job(key.Task.Job).Spec.Steps[key.Task.Step]
 		if step.Checkpointing && !step.LongRunning {
 			sc.evict(ls, id, key)
@@ -170,7 +170,7 @@
 // during the worker's maintenance.
 func (sc *Scheduler) evictColocated(ls *leaderState, rd store.Reader, id weir.InstanceID, step weir.TaskRef) {
 	var here []weir.RunKey
-	for key := range rd.Runs(id) {
+	for key := range rd.WorkerRuns(id) {
 		if key.Task.StepRef() == step {
 			here = append(here, key)
 		}
@@ -198,7 +198,7 @@
 // as unavailable unless its worker reports it as fully running.
 func (sc *Scheduler) blockingStep(ls *leaderState, rd store.Reader, id weir.InstanceID) (step *weir.TaskRef, unavailable int) {
 	steps := map[weir.TaskRef]int{}
-	for key := range rd.Runs(id) {
+	for key := range rd.WorkerRuns(id) {
 		js := rd.Job(key.Task.Job)
 		if !js.Phase.Terminal() && js.Spec.Steps[key.Task.Step].MaxUnavailable > 0 {
 			steps[key.Task.StepRef()]++
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Runs returns the runs that may be on a worker, with the resources that each
+// WorkerRuns returns the runs that may be on a worker, with the resources that each
 // reserves.
-func (rd Reader) Runs(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
+func (rd Reader) WorkerRuns(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
 
 // Load returns the totals of the runs that may be on a worker.
 func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
--- a/internal/job/store/store_test.go
+++ b/internal/job/store/store_test.go
@@ -151,10 +151,10 @@
 	id := spec.JobID("a")
 	fx.mustApply(Change{Cancel: &id})
 	require.Equal(t, Cancelled, fx.phase("a"))
-	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1) })
+	fx.sr.Read(func(rd Reader) { require.Len(t, rd.WorkerRuns("w0"), 1) })
 	fx.mustApply(end("a", 0, 0, 1, EndStopped))
 	fx.sr.Read(func(rd Reader) {
-		require.Empty(t, rd.Runs("w0"))
+		require.Empty(t, rd.WorkerRuns("w0"))
 		require.Nil(t, rd.Job("a").Occurrences)
 	})
 	fx.mustApply(Change{Cancel: &id})
@@ -229,7 +229,9 @@
 	fx.mustApply(start("a", 0, 1, 1, 1))
 	fx.mustApply(end("a", 0, 1, 1, EndDone))
 	require.Equal(t, Done, fx.phase("a"), "the end of one member completes the gang")
-	fx.sr.Read(func(rd Reader) { require.Len(t, rd.Runs("w0"), 1, "the run of the other member has not ended yet") })
+	fx.sr.Read(func(rd Reader) {
+		require.Len(t, rd.WorkerRuns("w0"), 1, "the run of the other member has not ended yet")
+	})
 }
 
 func TestGangFailureCountsOncePerRun(t *testing.T) {
--- a/internal/task/session/explore_test.go
+++ b/internal/task/session/explore_test.go
@@ -137,7 +137,7 @@
 	}
 	var placed []PlacedRun
 	sm.st.Read(func(rd store.Reader) {
-		for key := range rd.Runs(id) {
+		for key := range rd.WorkerRuns(id) {
 			js := rd.Job(key.Task.Job)
 			placed = append(placed, PlacedRun{Key: key, Wanted: !js.Phase.Terminal() && !js.Task(key.Task).Done})
 		}
