--- a/internal/job/scheduler/machines.go
+++ b/internal/job/scheduler/machines.go
@@ -232,7 +232,7 @@
 
 func (sc *Scheduler) candidate(ls *leaderState, rd store.Reader, machine string, wk store.Worker) candidate {
 	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: ls.machines.cordoned(machine)}
-	load := rd.Load(wk.ID)
+	load := rd.WorkerLoad(wk.ID)
 	ca.batchRuns, ca.longRunning = load.Batch, load.LongRunning
 	return ca
 }
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -274,7 +274,7 @@
 			continue
 		}
 		pw := placement.Worker{ID: id, Incarnation: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
-		load := rd.Load(id)
+		load := rd.WorkerLoad(id)
 		pw.Free, pw.Serving, pw.BestEffort = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
 	}
--- a/internal/job/scheduler/throttle.go
+++ b/internal/job/scheduler/throttle.go
@@ -57,7 +57,7 @@
 }
 
 func (sc *Scheduler) throttleWorker(ls *leaderState, rd store.Reader, id weir.InstanceID, ws *workerSession) {
-	if rd.Load(id).BestEffort == 0 {
+	if rd.WorkerLoad(id).BestEffort == 0 {
 		delete(ls.throttles, id)
 		return
 	}
--- a/internal/job/store/reader.go
+++ b/internal/job/store/reader.go
@@ -56,8 +56,8 @@
 // reserves.
 func (rd Reader) WorkerRuns(id weir.InstanceID) map[RunKey]spec.Resources { return rd.st.Runs[id] }
 
-// Load returns the totals of the runs that may be on a worker.
-func (rd Reader) Load(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
+// WorkerLoad returns the totals of the runs that may be on a worker.
+func (rd Reader) WorkerLoad(id weir.InstanceID) WorkerLoad { return rd.st.Loads[id] }
 
 // WorkerRevision changes whenever a worker changes. Values are comparable only
 // until this process restarts.
