--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -139,7 +139,7 @@
 	}
 	// The library does not report whether the request was sent before the link
 	// broke.
-	return &Error{Op: method, Kind: KindLost, Err: err}
+	return &Error{Op: method, Kind: KindReplyLost, Err: err}
 }
 
 // Notify sends a notification; it is dropped if the link is down.
@@ -149,7 +149,7 @@
 		return &Error{Op: method, Kind: KindNotSent}
 	}
 	if err := conn.Notify(ctx, method, params); err != nil {
-		return &Error{Op: method, Kind: KindLost, Err: err}
+		return &Error{Op: method, Kind: KindReplyLost, Err: err}
 	}
 	return nil
 }
