--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -36,7 +36,7 @@
 // Default validates the settings.
 func (cl *Client) Default() error {
 	if cl.Addr == "" || cl.Token == "" {
-		return &Error{Op: "peer client", Kind: KindDenied, Err: errors.New("address or token missing")}
+		return &Error{Op: "peer client", Kind: KindInvalidSettings, Err: errors.New("address or token missing")}
 	}
 	return nil
 }
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -30,11 +30,11 @@
 	// KindNotSent means that the request did not reach the other side.
 	KindNotSent Kind = "not sent"
 	// KindReplyLost means that the other side may have handled the request.
-	KindReplyLost Kind = "reply lost"
-	KindRemote    Kind = "refused by the other side"
-	KindTooLarge  Kind = "frame too large"
-	KindDenied    Kind = "not a peer"
-	KindListen    Kind = "cannot listen"
+	KindReplyLost       Kind = "reply lost"
+	KindRemote          Kind = "refused by the other side"
+	KindTooLarge        Kind = "frame too large"
+	KindInvalidSettings Kind = "not a peer"
+	KindListen          Kind = "cannot listen"
 )
 
 // Error is the error type of this package.
--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -44,7 +44,7 @@
 		sv.Logger = log.NewNopLogger()
 	}
 	if sv.Token == "" {
-		return &Error{Op: "peer server", Kind: KindDenied, Err: errors.New("no peer token")}
+		return &Error{Op: "peer server", Kind: KindInvalidSettings, Err: errors.New("no peer token")}
 	}
 	lis, err := net.Listen("tcp", sv.Addr)
 	if err != nil {
