--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -101,7 +101,7 @@
 
 // dumpState returns the process's part of the state dump.
 func (lr *logReplica) dumpState() any {
-	return map[string]any{"log": lr.node.Status(), "holders": lr.roster.Holders()}
+	return map[string]any{"log": lr.node.Status(), "holders": lr.roster.ReplicaIDs()}
 }
 
 // handlePeerCall handles the calls of other processes.
--- a/cmd/greengageweir/platform_entry.go
+++ b/cmd/greengageweir/platform_entry.go
@@ -58,7 +58,7 @@
 		lks,
 		ros,
 		pc.watchSettings(lg, ros),
-		platformMetricsListener(st, func() any { return map[string]any{"holders": ros.Holders(), "leader": ros.Leader()} }),
+		platformMetricsListener(st, func() any { return map[string]any{"holders": ros.ReplicaIDs(), "leader": ros.Leader()} }),
 		&ops.Listener{
 			Name: "callers' listener", Addr: st.Bind.Front, Handler: platform.NewCallerHandler(rly, lg),
 			ShutdownDelay: entryShutdownDelay, ShutdownTimeout: entryShutdownTimeout,
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -105,7 +105,7 @@
 	if leader != "" && rl.Links.Ready(leader) {
 		ids = append(ids, leader)
 	}
-	for _, id := range rl.Roster.Holders() {
+	for _, id := range rl.Roster.ReplicaIDs() {
 		if id != leader && rl.Links.Ready(id) {
 			ids = append(ids, id)
 		}
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Holders returns the ids of the known processes that hold a replica of the log,
+// ReplicaIDs returns the ids of the known processes that hold a replica of the log,
 // sorted.
-func (ro *Roster) Holders() []string {
+func (ro *Roster) ReplicaIDs() []string {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return slices.Sorted(maps.Keys(ro.replicas))
@@ -169,7 +169,7 @@
 		return
 	}
 	var wg sync.WaitGroup
-	for _, id := range ro.Holders() {
+	for _, id := range ro.ReplicaIDs() {
 		if id != ro.Self && ro.Links.Ready(id) {
 			wg.Go(func() { ro.query(ctx, id) })
 		}
@@ -199,7 +199,7 @@
 // the next membership change, if one is due. It returns the time of the last
 // change.
 func (ro *Roster) reconcileVoters(ctx context.Context, changed time.Time) time.Time {
-	replicas := ro.Holders()
+	replicas := ro.ReplicaIDs()
 	err := ro.Log.WithCore(ctx, func(now time.Time, core *replica.Core) {
 		for _, id := range replicas {
 			core.AddNonVoter(now, id)
