--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -82,7 +82,7 @@
 		Heartbeat: raftHeartbeat, Election: raftElectionTimeout, SnapshotEvery: snapshotEntries, LazyPropagation: true,
 	}
 	lr.roster = &roster.Roster{
-		Self: self.ID, HoldsLog: true, Seeds: lr.Seeds, Links: lks, Log: lr.node, Voters: lr.Voters, Logger: lg,
+		Self: self.ID, IsReplica: true, Seeds: lr.Seeds, Links: lks, Log: lr.node, Voters: lr.Voters, Logger: lg,
 	}
 	com := &scheduler.Committer{Log: lr.node, Wall: wallClock}
 	sch := &scheduler.Scheduler{
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -49,10 +49,10 @@
 type Roster struct {
 	// Self is this process's id, which is also its peer address.
 	Self string
-	// HoldsLog is set if this process holds a replica of the log.
-	HoldsLog bool
-	Seeds    []string
-	Links    *links.Links
+	// IsReplica is set if this process holds a replica of the log.
+	IsReplica bool
+	Seeds     []string
+	Links     *links.Links
 	// Log is nil if this process holds no replica.
 	Log Log
 	// Voters is the target number of voters.
@@ -70,7 +70,7 @@
 // Default adds the seeds to the directory.
 func (ro *Roster) Default() error {
 	ro.replicas = map[string]bool{}
-	if ro.HoldsLog {
+	if ro.IsReplica {
 		ro.replicas[ro.Self] = true
 	}
 	for _, id := range ro.Seeds {
@@ -181,7 +181,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var list jobapi.DirectoryReply
-	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
+	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.IsReplica, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory query failed", "peer", id, "err", err)
 		return
 	}
