--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -119,7 +119,7 @@
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
-		return lr.roster.HandleIntroduction(in), nil
+		return lr.roster.HandleDirectoryRequest(in), nil
 	case jobapi.CallMethod:
 		var in jobapi.Call
 		if err := call.Decode(&in); err != nil {
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -124,9 +124,9 @@
 	ro.leader = id
 }
 
-// HandleIntroduction returns the directory to another process, and adds that
+// HandleDirectoryRequest returns the directory to another process, and adds that
 // process if it holds a replica.
-func (ro *Roster) HandleIntroduction(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
+func (ro *Roster) HandleDirectoryRequest(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
 	if in.Replica {
 		ro.addReplica(in.ID)
