--- a/internal/contract/platform/platform.go
+++ b/internal/contract/platform/platform.go
@@ -38,8 +38,8 @@
 
 const callTimeout = 5 * time.Second
 
-// Reboot is the body of a reboot request.
-type Reboot struct {
+// RebootRequest is the body of a reboot request.
+type RebootRequest struct {
 	Operation string `json:"operation"`
 }
 
@@ -59,7 +59,7 @@
 	if !ok {
 		return &Error{Op: "reboot " + string(inst), Kind: KindNoAddress}
 	}
-	body, err := json.Marshal(Reboot{Operation: operation})
+	body, err := json.Marshal(RebootRequest{Operation: operation})
 	if err != nil {
 		return &Error{Op: "reboot " + string(inst), Kind: KindFailed, Err: err}
 	}
--- a/internal/standin/worker/host.go
+++ b/internal/standin/worker/host.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	var body platform.Reboot
+	var body platform.RebootRequest
 	if err := ctx.Bind(&body); err != nil {
 		return err
 	}
