--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -34,7 +34,7 @@
 	Permit            *PermitGrant       `json:"permit,omitempty"`
 	Reboot            *RebootDone        `json:"reboot,omitempty"`
 	Release           *PermitRelease     `json:"release,omitempty"`
-	Stuck             *Stuck             `json:"stuck,omitempty"`
+	Stuck             *MarkStuck         `json:"stuck,omitempty"`
 	Retire            *Retire            `json:"retire,omitempty"`
 	Status            *StatusBatch       `json:"status,omitempty"`
 	Usage             *UsageBatch        `json:"usage,omitempty"`
@@ -132,8 +132,8 @@
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// Stuck marks an instance that was not up again in time after its reboot.
-type Stuck struct {
+// MarkStuck marks an instance that was not up again in time after its reboot.
+type MarkStuck struct {
 	Instance weir.InstanceID `json:"instance"`
 }
 
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -244,7 +244,7 @@
 		fx.mustApply(fx.confirmDrain(id, 1, 1, fx.vw.Members[id].SinceIndex, "e1"))
 		fx.mustApply(command.Command{Reboot: &command.RebootDone{Instance: id, Operation: fx.vw.Members[id].Operation}})
 		if id == "n0" {
-			fx.mustApply(command.Command{Stuck: &command.Stuck{Instance: id}})
+			fx.mustApply(command.Command{Stuck: &command.MarkStuck{Instance: id}})
 			continue
 		}
 		fx.status(id, 2, 1, true)
@@ -314,7 +314,7 @@
 				}
 				fx.status(id, 1+inc[id], 1, rapid.IntRange(0, 3).Draw(rt, "up") > 0)
 			case 9:
-				fx.apply(command.Command{Stuck: &command.Stuck{Instance: id}})
+				fx.apply(command.Command{Stuck: &command.MarkStuck{Instance: id}})
 			}
 			fx.checkState(rt, before, planned)
 		}
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if !back && !mem.Stuck && pl.now.Sub(mem.SinceAt) > ReturnTimeout {
-		pl.add(command.Command{Stuck: &command.Stuck{Instance: mem.Instance}})
+		pl.add(command.Command{Stuck: &command.MarkStuck{Instance: mem.Instance}})
 	}
 }
 
