--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -257,7 +257,7 @@
 		return err
 	}
 	return ap.propose(ech, command.Command{
-		RequestID: req.RequestID, Process: &command.Process{ID: ech.Param("process"), Forget: true},
+		RequestID: req.RequestID, Process: &command.ProcessUpdate{ID: ech.Param("process"), Forget: true},
 	})
 }
 
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -49,7 +49,7 @@
 	if known {
 		return nil
 	}
-	_, err := sv.proposeLocal(ctx, command.Command{At: now, Process: &command.Process{ID: rep.Entry, Zone: rep.Zone}})
+	_, err := sv.proposeLocal(ctx, command.Command{At: now, Process: &command.ProcessUpdate{ID: rep.Entry, Zone: rep.Zone}})
 	return err
 }
 
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -38,7 +38,7 @@
 	Retire            *Retire            `json:"retire,omitempty"`
 	Status            *StatusBatch       `json:"status,omitempty"`
 	Usage             *UsageBatch        `json:"usage,omitempty"`
-	Process           *Process           `json:"process,omitempty"`
+	Process           *ProcessUpdate     `json:"process,omitempty"`
 	Barrier           *Barrier           `json:"barrier,omitempty"`
 }
 
@@ -181,9 +181,9 @@
 	Reports []UsageReport `json:"reports"`
 }
 
-// Process registers an entry instance, or removes one that has been shut down for
+// ProcessUpdate registers an entry instance, or removes one that has been shut down for
 // good.
-type Process struct {
+type ProcessUpdate struct {
 	ID     string    `json:"id"`
 	Zone   weir.Zone `json:"zone"`
 	Forget bool      `json:"forget,omitempty"`
