--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -63,8 +63,8 @@
 
 // Move starts to move an instance to another pool. The instance is drained first.
 type Move struct {
-	Instance weir.InstanceID `json:"instance"`
-	To       weir.PoolName   `json:"to"`
+	Instance   weir.InstanceID `json:"instance"`
+	TargetPool weir.PoolName   `json:"to"`
 	// Lent marks a move that differs from the configuration on purpose. The
 	// leader does not move the instance back to its configured pool.
 	Lent bool `json:"lent,omitempty"`
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -48,14 +48,14 @@
 	if refusal != nil {
 		return *refusal
 	}
-	if _, ok := st.Config.Pools[mv.To]; !ok {
-		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
+	if _, ok := st.Config.Pools[mv.TargetPool]; !ok {
+		return refuse(command.RefusedNotFound, "no pool is named %s", mv.TargetPool)
 	}
-	if mem.Pool == mv.To {
-		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.To)
+	if mem.Pool == mv.TargetPool {
+		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.TargetPool)
 	}
 	mem.Purpose = view.ForMove
-	mem.TargetPool = mv.To
+	mem.TargetPool = mv.TargetPool
 	mem.Lent = mv.Lent
 	return st.startDrain(mem, cmd, ch)
 }
--- a/internal/fleet/fsm/machine_test.go
+++ b/internal/fleet/fsm/machine_test.go
@@ -112,7 +112,7 @@
 }
 
 func move(id weir.InstanceID, to weir.PoolName) command.Command {
-	return command.Command{Move: &command.Move{Instance: id, To: to}}
+	return command.Command{Move: &command.Move{Instance: id, TargetPool: to}}
 }
 
 func (fx *fixture) confirmDrain(id weir.InstanceID, incarnation, epoch, seen uint64, entry string) command.Command {
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -147,7 +147,7 @@
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
-		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.ConfiguredPool}})
+		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, TargetPool: mem.ConfiguredPool}})
 	}
 }
 
