--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -186,7 +186,7 @@
 
 func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
-		Name: wv.Name, State: wv.State, Todo: len(wv.Todo), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
+		Name: wv.Name, State: wv.State, Todo: len(wv.Pending), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
 		Active: sortedIDs(wv.Active), Stuck: sortedIDs(wv.Stuck),
 	}
 	if !wv.EndedAt.IsZero() {
@@ -195,7 +195,7 @@
 		return ws
 	}
 	if len(wv.Done) > 0 {
-		left := len(wv.Todo) + len(wv.Active)
+		left := len(wv.Pending) + len(wv.Active)
 		end := now.Add(now.Sub(wv.CreatedAt) * time.Duration(left) / time.Duration(len(wv.Done)))
 		ws.ExpectedEnd = &end
 	}
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -85,7 +85,7 @@
 	if !ok {
 		return refuse(command.RefusedNotFound, "no wave is named %s", pg.Wave)
 	}
-	if wave.State != WaveRunning || !wave.Todo[pg.Instance] {
+	if wave.State != WaveRunning || !wave.Pending[pg.Instance] {
 		return refuse(command.RefusedWrongState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
 	}
 	if len(wave.Active) >= wave.MaxParallel {
@@ -100,7 +100,7 @@
 	mem.Operation = fmt.Sprintf("%s/%s/%d", pg.Wave, pg.Instance, ch.index)
 	ans := st.startDrain(mem, cmd, ch)
 	if ans.Refusal == nil {
-		delete(wave.Todo, pg.Instance)
+		delete(wave.Pending, pg.Instance)
 		wave.Active[pg.Instance] = true
 	}
 	return ans
@@ -146,7 +146,7 @@
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
 		if wave.State != WaveAborted {
-			wave.Todo[id] = true
+			wave.Pending[id] = true
 		}
 	}
 	if mem.Purpose == view.ForMove && mem.Pool == mem.ConfiguredPool {
--- a/internal/fleet/fsm/state.go
+++ b/internal/fleet/fsm/state.go
@@ -26,7 +26,7 @@
 	Name        string                   `json:"name"`
 	State       WaveState                `json:"state"`
 	MaxParallel int                      `json:"maxParallel"`
-	Todo        map[weir.InstanceID]bool `json:"todo"`
+	Pending     map[weir.InstanceID]bool `json:"todo"`
 	Active      map[weir.InstanceID]bool `json:"active"`
 	Done        map[weir.InstanceID]bool `json:"done"`
 	Stuck       map[weir.InstanceID]bool `json:"stuck"`
--- a/internal/fleet/fsm/wave.go
+++ b/internal/fleet/fsm/wave.go
@@ -30,7 +30,7 @@
 	}
 	wave := &Wave{
 		Name: wc.Name, State: WaveRunning, MaxParallel: wc.MaxParallel, CreatedAt: cmd.At,
-		Todo: st.selectInstances(wc), Active: map[weir.InstanceID]bool{},
+		Pending: st.selectInstances(wc), Active: map[weir.InstanceID]bool{},
 		Done: map[weir.InstanceID]bool{}, Stuck: map[weir.InstanceID]bool{},
 	}
 	st.Waves[wc.Name] = wave
@@ -77,7 +77,7 @@
 
 // finishIfDone marks a running wave as done if no instances are left.
 func (wv *Wave) finishIfDone(now time.Time) {
-	if wv.State == WaveRunning && len(wv.Todo) == 0 && len(wv.Active) == 0 {
+	if wv.State == WaveRunning && len(wv.Pending) == 0 && len(wv.Active) == 0 {
 		wv.State = WaveDone
 		wv.EndedAt = now
 	}
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -174,8 +174,8 @@
 }
 
 func (pl *planner) candidates(wv *fsm.Wave) []weir.InstanceID {
-	ids := make([]weir.InstanceID, 0, len(wv.Todo))
-	for id := range wv.Todo {
+	ids := make([]weir.InstanceID, 0, len(wv.Pending))
+	for id := range wv.Pending {
 		mem, ok := pl.rd.Members()[id]
 		if ok && mem.Phase == view.Serving && pl.rd.Statuses()[id].Up {
 			ids = append(ids, id)
