--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -149,7 +149,7 @@
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.ConfigNumber(), rd.Pools(), rd.CompletedMoves()
 	})
-	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
+	for _, dm := range ap.Service.Registry.DemandByService(ap.Service.Clock.Now()) {
 		ans.Demand = append(ans.Demand, dm)
 	}
 	sort.Slice(ans.Demand, func(a, b int) bool { return ans.Demand[a].Service < ans.Demand[b].Service })
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -95,8 +95,8 @@
 	return list
 }
 
-// Demand returns the total load of each service at the reporting entry instances.
-func (rg *Registry) Demand(now time.Time) map[weir.ServiceName]peerapi.Demand {
+// DemandByService returns the total load of each service at the reporting entry instances.
+func (rg *Registry) DemandByService(now time.Time) map[weir.ServiceName]peerapi.Demand {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	sums := map[weir.ServiceName]peerapi.Demand{}
