--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -79,11 +79,11 @@
 	ConfigNumber uint64    `json:"number"`
 	// Full is set when Statuses holds all instances that are leased to the entry
 	// instance, and not only those that changed.
-	Full     bool                        `json:"full,omitempty"`
-	Statuses []command.Status            `json:"statuses,omitempty"`
-	Consents []command.DrainConfirmation `json:"consents,omitempty"`
-	Usage    []command.UsageReport       `json:"usage,omitempty"`
-	Demand   []Demand                    `json:"demand,omitempty"`
+	Full               bool                        `json:"full,omitempty"`
+	Statuses           []command.Status            `json:"statuses,omitempty"`
+	DrainConfirmations []command.DrainConfirmation `json:"consents,omitempty"`
+	Usage              []command.UsageReport       `json:"usage,omitempty"`
+	Demand             []Demand                    `json:"demand,omitempty"`
 }
 
 // Demand is the load of one service at one entry instance at the time of the
--- a/internal/control/rpc/report.go
+++ b/internal/control/rpc/report.go
@@ -29,7 +29,7 @@
 			return ans, err
 		}
 	}
-	for _, co := range rep.Consents {
+	for _, co := range rep.DrainConfirmations {
 		if _, err := sv.proposeLocal(ctx, command.Command{At: now, DrainConfirmation: &co}); err != nil {
 			return ans, err
 		}
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -71,9 +71,9 @@
 	full := rp.full
 	rep := peerapi.Report{
 		Entry: rp.Self, Zone: rp.Zone, Started: rp.Started, View: vw.Index, ConfigNumber: vw.ConfigNumber, Full: full,
-		Statuses: rp.Table.Sweep(rp.Self, full), Consents: rp.Table.DrainConfirmations(rp.Self), Usage: rp.Table.PendingUsage(),
+		Statuses: rp.Table.Sweep(rp.Self, full), DrainConfirmations: rp.Table.DrainConfirmations(rp.Self), Usage: rp.Table.PendingUsage(),
 	}
-	urgent := len(rep.Statuses) > 0 || len(rep.Consents) > 0 || vw.Index != rp.lastView
+	urgent := len(rep.Statuses) > 0 || len(rep.DrainConfirmations) > 0 || vw.Index != rp.lastView
 	if !urgent && now.Sub(rp.lastAt) < reportInterval {
 		return
 	}
