--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -121,9 +121,9 @@
 	Free  map[weir.ServiceName]int `json:"free"`
 }
 
-// Reserve is the request of LedgerReserve: it reserves a key for an attempt at
+// ReserveRequest is the request of LedgerReserve: it reserves a key for an attempt at
 // one replica of the ledger.
-type Reserve struct {
+type ReserveRequest struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 		return &peer.Error{Op: method, Kind: peer.KindNotSent}
 	}
 	switch par := params.(type) {
-	case peerapi.Reserve:
+	case peerapi.ReserveRequest:
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
@@ -274,7 +274,7 @@
 	fx := newFixture(t)
 	req := fx.request(t, false, true)
 	for _, id := range []string{"a1", "a2"} {
-		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
+		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.ReserveRequest{Key: req.Key, Attempt: "a2/other"})
 	}
 	fx.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
 		fx.mu.Lock()
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -97,7 +97,7 @@
 	cl := &Claim{gr: gr, key: key, attempt: attempt}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	votes := gr.requestVotes(ctx, peerapi.Reserve{Key: key, Attempt: attempt})
+	votes := gr.requestVotes(ctx, peerapi.ReserveRequest{Key: key, Attempt: attempt})
 	majority := len(gr.Replicas)/2 + 1
 	granted, reason := 0, "too few ledger replicas answered"
 	for range gr.Replicas {
@@ -128,7 +128,7 @@
 }
 
 // requestVotes sends the reservation to all replicas at once.
-func (gr *Group) requestVotes(ctx context.Context, res peerapi.Reserve) <-chan vote {
+func (gr *Group) requestVotes(ctx context.Context, res peerapi.ReserveRequest) <-chan vote {
 	votes := make(chan vote, len(gr.Replicas))
 	for _, id := range gr.Replicas {
 		if id == gr.Self {
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -51,7 +51,7 @@
 		return errors.New("down")
 	}
 	switch par := params.(type) {
-	case peerapi.Reserve:
+	case peerapi.ReserveRequest:
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(fm.clk.Now(), par)
 	case peerapi.Finish:
 		fm.stores[id].Finish(par)
@@ -139,30 +139,30 @@
 		return text
 	}
 	early := key(origin.Add(time.Second))
-	require.Equal(t, peerapi.ReserveRefused, st.Reserve(clk.Now(), peerapi.Reserve{Key: early, Attempt: "a"}).State, "below the floor")
+	require.Equal(t, peerapi.ReserveRefused, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: early, Attempt: "a"}).State, "below the floor")
 	clk.Advance(10 * time.Second)
 	future := key(clk.Now().Add(MaxClockSkew + time.Second))
-	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: future, Attempt: "a"}).Reason)
+	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: future, Attempt: "a"}).Reason)
 	k1, k2, k3 := key(clk.Now()), key(clk.Now()), key(clk.Now())
-	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "a"}).State)
-	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "a"}).State, "the same attempt again")
-	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).State)
-	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "a"}).State)
-	require.Equal(t, "ledger full", st.Reserve(clk.Now(), peerapi.Reserve{Key: k3, Attempt: "a"}).Reason)
+	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "a"}).State)
+	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "a"}).State, "the same attempt again")
+	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"}).State)
+	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "a"}).State)
+	require.Equal(t, "ledger full", st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k3, Attempt: "a"}).Reason)
 	st.Finish(peerapi.Finish{Key: k2, Attempt: "b", Answer: weir.NotRunResponse("x")})
-	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
+	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
 	st.Finish(peerapi.Finish{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
-	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.Reserve{Key: k2, Attempt: "c"}).State)
+	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "c"}).State)
 	complete := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
 	st.Finish(peerapi.Finish{Key: k1, Attempt: "a", Answer: complete})
-	recorded := st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"})
+	recorded := st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
 	require.Equal(t, &complete, recorded.Answer)
 	clk.Advance(3 * time.Minute)
-	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.Reserve{Key: k1, Attempt: "b"}).Reason, "past retention")
+	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"}).Reason, "past retention")
 	require.Zero(t, st.Stats().Keys)
 	// A clock that is set back must not bring dropped keys into range again.
-	require.Equal(t, peerapi.ReserveRefused, st.Reserve(origin.Add(20*time.Second), peerapi.Reserve{Key: k1, Attempt: "b"}).State)
+	require.Equal(t, peerapi.ReserveRefused, st.Reserve(origin.Add(20*time.Second), peerapi.ReserveRequest{Key: k1, Attempt: "b"}).State)
 }
 
 func TestClaimNeedsMajority(t *testing.T) {
@@ -265,9 +265,9 @@
 	clk.Advance(time.Minute)
 	key, err := NewKey("a", clk.Now())
 	require.NoError(t, err)
-	fm.stores["a1"].Reserve(clk.Now(), peerapi.Reserve{Key: key, Attempt: "lost"})
-	fm.stores["a2"].Reserve(clk.Now(), peerapi.Reserve{Key: key, Attempt: "won"})
-	fm.stores["b1"].Reserve(clk.Now(), peerapi.Reserve{Key: key, Attempt: "won"})
+	fm.stores["a1"].Reserve(clk.Now(), peerapi.ReserveRequest{Key: key, Attempt: "lost"})
+	fm.stores["a2"].Reserve(clk.Now(), peerapi.ReserveRequest{Key: key, Attempt: "won"})
+	fm.stores["b1"].Reserve(clk.Now(), peerapi.ReserveRequest{Key: key, Attempt: "won"})
 	fm.restart("a2")
 	fm.recover(t, "a2", ids...)
 	for _, id := range ids {
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -96,7 +96,7 @@
 
 // Reserve grants the key to an attempt, or returns the attempt that holds it,
 // its recorded response or the reason of a refusal.
-func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveResponse {
+func (st *Store) Reserve(now time.Time, res peerapi.ReserveRequest) peerapi.ReserveResponse {
 	key, err := ParseKey(res.Key)
 	if err != nil {
 		return refused("bad key")
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -78,7 +78,7 @@
 func (sv *PeerHandler) handleLedger(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.LedgerReserve:
-		var res peerapi.Reserve
+		var res peerapi.ReserveRequest
 		if err := call.Decode(&res); err != nil {
 			return nil, err
 		}
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -92,7 +92,7 @@
 	for ix := range count {
 		key, err := ledger.NewKey("zone-00", now)
 		ms.check(err)
-		st.Reserve(now, peerapi.Reserve{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
+		st.Reserve(now, peerapi.ReserveRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
 		st.Finish(peerapi.Finish{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Response{
 			Kind: weir.Complete, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
 		}})
@@ -121,7 +121,7 @@
 		}
 		return cpuMicros(count, func() {
 			for _, key := range list {
-				st.Reserve(now, peerapi.Reserve{Key: key, Attempt: "entry-00/x"})
+				st.Reserve(now, peerapi.ReserveRequest{Key: key, Attempt: "entry-00/x"})
 			}
 		})
 	})
