--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -154,9 +154,9 @@
 	Reason  string         `json:"reason,omitempty"`
 }
 
-// Finish is the request of LedgerFinish. An attempt that did not run frees the
+// FinishRequest is the request of LedgerFinish. An attempt that did not run frees the
 // key.
-type Finish struct {
+type FinishRequest struct {
 	Key     string        `json:"key"`
 	Attempt string        `json:"attempt"`
 	Answer  weir.Response `json:"answer"`
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -40,7 +40,7 @@
 	switch par := params.(type) {
 	case peerapi.ReserveRequest:
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
-	case peerapi.Finish:
+	case peerapi.FinishRequest:
 		fm.stores[id].Finish(par)
 	case peerapi.Join:
 		*result.(*weir.Response) = fm.join(ctx, par)
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -143,7 +143,7 @@
 
 // Finish records the outcome of an attempt. An attempt that did not run frees
 // the key for another one.
-func (st *Store) Finish(fin peerapi.Finish) {
+func (st *Store) Finish(fin peerapi.FinishRequest) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	rec, ok := st.records[fin.Key]
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -84,7 +84,7 @@
 		}
 		return sv.Store.Reserve(sv.Clock.Now(), res), nil
 	case peerapi.LedgerFinish:
-		var fin peerapi.Finish
+		var fin peerapi.FinishRequest
 		if err := call.Decode(&fin); err != nil {
 			return nil, err
 		}
