--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -162,8 +162,8 @@
 	Answer  weir.Response `json:"answer"`
 }
 
-// Join is the request of LedgerJoin.
-type Join struct {
+// JoinRequest is the request of LedgerJoin.
+type JoinRequest struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -236,7 +236,7 @@
 // AwaitAttempt returns the outcome of an attempt that is in flight here. It
 // waits only for an attempt that has claimed the key: otherwise two instances
 // that both lost the claim would wait for each other.
-func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Response {
+func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.JoinRequest) weir.Response {
 	dp.mu.Lock()
 	ka, ok := dp.attempts[jo.Key]
 	dp.mu.Unlock()
@@ -262,14 +262,14 @@
 	if claim.Answer.Kind == weir.Unknown && holder != "" && holder != dp.Self {
 		ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 		defer cancel()
-		return dp.awaitAttemptAt(ctx, holder, peerapi.Join{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
+		return dp.awaitAttemptAt(ctx, holder, peerapi.JoinRequest{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
 	}
 	return *claim.Answer
 }
 
 // awaitAttemptAt waits for the outcome of an attempt at the instance that holds
 // its key.
-func (dp *Dispatcher) awaitAttemptAt(ctx context.Context, holder string, jo peerapi.Join, fallback weir.Response) weir.Response {
+func (dp *Dispatcher) awaitAttemptAt(ctx context.Context, holder string, jo peerapi.JoinRequest, fallback weir.Response) weir.Response {
 	var ans weir.Response
 	if dp.Mesh.Call(ctx, holder, peerapi.LedgerJoin, jo, &ans) != nil {
 		return fallback
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -30,7 +30,7 @@
 type fakeMesh struct {
 	stores map[string]*ledger.Store
 	down   atomic.Bool
-	join   func(ctx context.Context, jo peerapi.Join) weir.Response
+	join   func(ctx context.Context, jo peerapi.JoinRequest) weir.Response
 }
 
 func (fm *fakeMesh) Call(ctx context.Context, id, method string, params, result any) error {
@@ -42,7 +42,7 @@
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
 	case peerapi.FinishRequest:
 		fm.stores[id].Finish(par)
-	case peerapi.Join:
+	case peerapi.JoinRequest:
 		*result.(*weir.Response) = fm.join(ctx, par)
 	default:
 		return errors.New(method)
@@ -276,11 +276,11 @@
 	for _, id := range []string{"a1", "a2"} {
 		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.ReserveRequest{Key: req.Key, Attempt: "a2/other"})
 	}
-	fx.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
+	fx.mesh.join = func(ctx context.Context, _ peerapi.JoinRequest) weir.Response {
 		fx.mu.Lock()
 		ours := fx.attempts[req.Key].id
 		fx.mu.Unlock()
-		return fx.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
+		return fx.AwaitAttempt(ctx, peerapi.JoinRequest{Key: req.Key, Attempt: ours})
 	}
 	answered := make(chan weir.Response, 1)
 	go func() { answered <- fx.runKeyed(req) }()
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -91,7 +91,7 @@
 		sv.Store.Finish(fin)
 		return struct{}{}, nil
 	case peerapi.LedgerJoin:
-		var jo peerapi.Join
+		var jo peerapi.JoinRequest
 		if err := call.Decode(&jo); err != nil {
 			return nil, err
 		}
