--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -168,8 +168,8 @@
 	Attempt string `json:"attempt"`
 }
 
-// Dump is the request of LedgerDump: the records after a key, in order of keys.
-type Dump struct {
+// DumpRequest is the request of LedgerDump: the records after a key, in order of keys.
+type DumpRequest struct {
 	After string `json:"after"`
 }
 
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -55,7 +55,7 @@
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(fm.clk.Now(), par)
 	case peerapi.FinishRequest:
 		fm.stores[id].Finish(par)
-	case peerapi.Dump:
+	case peerapi.DumpRequest:
 		*result.(*peerapi.DumpResponse) = fm.stores[id].Dump(par.After)
 	default:
 		return errors.New("unknown method " + method)
--- a/internal/entry/ledger/recover.go
+++ b/internal/entry/ledger/recover.go
@@ -81,7 +81,7 @@
 	for {
 		var page peerapi.DumpResponse
 		callCtx, cancel := context.WithTimeout(ctx, recoverTimeout)
-		err := rc.Caller.Call(callCtx, id, peerapi.LedgerDump, peerapi.Dump{After: after}, &page)
+		err := rc.Caller.Call(callCtx, id, peerapi.LedgerDump, peerapi.DumpRequest{After: after}, &page)
 		cancel()
 		if err != nil {
 			return time.Time{}, false
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -97,7 +97,7 @@
 		}
 		return sv.Dispatcher.AwaitAttempt(ctx, jo), nil
 	case peerapi.LedgerDump:
-		var du peerapi.Dump
+		var du peerapi.DumpRequest
 		if err := call.Decode(&du); err != nil {
 			return nil, err
 		}
