--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -58,8 +58,8 @@
 	LedgerDump = "ledger.dump"
 )
 
-// Subscribe is the request of ViewSubscribe.
-type Subscribe struct {
+// SubscribeRequest is the request of ViewSubscribe.
+type SubscribeRequest struct {
 	// Have is the index of the subscriber's view, 0 if it has none.
 	Have uint64 `json:"have"`
 }
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -60,7 +60,7 @@
 		sv.Node.Deliver(msg)
 		return nil, nil
 	case peerapi.ViewSubscribe:
-		var sub peerapi.Subscribe
+		var sub peerapi.SubscribeRequest
 		if err := call.Decode(&sub); err != nil {
 			return nil, err
 		}
--- a/internal/entry/viewsync/subscriber.go
+++ b/internal/entry/viewsync/subscriber.go
@@ -188,7 +188,7 @@
 		sb.source, sb.sourceConn, sb.stale = ix, conn, false
 		sb.mu.Unlock()
 		callCtx, cancel := context.WithTimeout(ctx, subscribeTimeout)
-		err := sb.clients[ix].Call(callCtx, peerapi.ViewSubscribe, peerapi.Subscribe{Have: have}, nil)
+		err := sb.clients[ix].Call(callCtx, peerapi.ViewSubscribe, peerapi.SubscribeRequest{Have: have}, nil)
 		cancel()
 		if err == nil {
 			return
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -38,7 +38,7 @@
 		for !cl.Connected() {
 			time.Sleep(time.Millisecond)
 		}
-		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.Subscribe{}, nil))
+		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.SubscribeRequest{}, nil))
 	}
 	delta := changeOf(config(0), 1)
 	begin := ms.clk.Now()
