--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -157,9 +157,9 @@
 // FinishRequest is the request of LedgerFinish. An attempt that did not run frees the
 // key.
 type FinishRequest struct {
-	Key     string        `json:"key"`
-	Attempt string        `json:"attempt"`
-	Answer  weir.Response `json:"answer"`
+	Key      string        `json:"key"`
+	Attempt  string        `json:"attempt"`
+	Response weir.Response `json:"answer"`
 }
 
 // JoinRequest is the request of LedgerJoin.
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -152,7 +152,7 @@
 func (cl *Claim) Finish(ctx context.Context, ans weir.Response) {
 	invariant.Check(cl.Won, "onlyWinnersFinish", "key", cl.key)
 	done := make(chan struct{}, len(cl.gr.Replicas))
-	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Answer: ans}
+	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Response: ans}
 	for _, id := range cl.gr.Replicas {
 		go func() {
 			if cl.sendFinish(id, fin) {
@@ -176,7 +176,7 @@
 // finishAll sends the outcome to all replicas and waits for them. It does not
 // depend on the context of a request.
 func (cl *Claim) finishAll(ans weir.Response) {
-	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Answer: ans}
+	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Response: ans}
 	var wg sync.WaitGroup
 	for _, id := range cl.gr.Replicas {
 		wg.Add(1)
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -149,12 +149,12 @@
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"}).State)
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "a"}).State)
 	require.Equal(t, "ledger full", st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k3, Attempt: "a"}).Reason)
-	st.Finish(peerapi.FinishRequest{Key: k2, Attempt: "b", Answer: weir.NotRunResponse("x")})
+	st.Finish(peerapi.FinishRequest{Key: k2, Attempt: "b", Response: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveHeld, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "c"}).State, "only the holder frees a key")
-	st.Finish(peerapi.FinishRequest{Key: k2, Attempt: "a", Answer: weir.NotRunResponse("x")})
+	st.Finish(peerapi.FinishRequest{Key: k2, Attempt: "a", Response: weir.NotRunResponse("x")})
 	require.Equal(t, peerapi.ReserveGranted, st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k2, Attempt: "c"}).State)
 	complete := weir.Response{Kind: weir.Complete, Status: 200, Body: []byte("booked")}
-	st.Finish(peerapi.FinishRequest{Key: k1, Attempt: "a", Answer: complete})
+	st.Finish(peerapi.FinishRequest{Key: k1, Attempt: "a", Response: complete})
 	recorded := st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
 	require.Equal(t, &complete, recorded.Answer)
@@ -271,7 +271,7 @@
 	fm.restart("a2")
 	fm.recover(t, "a2", ids...)
 	for _, id := range ids {
-		fm.stores[id].Finish(peerapi.FinishRequest{Key: key, Attempt: "lost", Answer: weir.NotRunResponse("not claimed")})
+		fm.stores[id].Finish(peerapi.FinishRequest{Key: key, Attempt: "lost", Response: weir.NotRunResponse("not claimed")})
 	}
 	claim := fm.group("a1", ids...).Claim(context.Background(), key, "again")
 	require.False(t, claim.Won, "another attempt has won the key")
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -150,7 +150,7 @@
 	if !ok || rec.answer != nil {
 		return
 	}
-	if fin.Answer.Kind == weir.NotRun {
+	if fin.Response.Kind == weir.NotRun {
 		if rec.attempt == fin.Attempt && !rec.copied {
 			delete(st.records, fin.Key)
 		}
@@ -158,7 +158,7 @@
 	}
 	// Only the attempt that won the key can have run, so its outcome is recorded
 	// even if this replica granted the key to another attempt.
-	ans := fin.Answer
+	ans := fin.Response
 	if len(ans.Body) > maxRecordedBody {
 		ans.Body = nil
 		ans.Reason = "the recorded answer is without its body, which was too long to keep"
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -93,7 +93,7 @@
 		key, err := ledger.NewKey("zone-00", now)
 		ms.check(err)
 		st.Reserve(now, peerapi.ReserveRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
-		st.Finish(peerapi.FinishRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Response{
+		st.Finish(peerapi.FinishRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Response: weir.Response{
 			Kind: weir.Complete, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
 		}})
 	}
