--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -186,7 +186,7 @@
 // Record is the ledger's record of one key. Answer is nil while the attempt has
 // no outcome.
 type Record struct {
-	Key     string         `json:"key"`
-	Attempt string         `json:"attempt"`
-	Answer  *weir.Response `json:"answer,omitempty"`
+	Key      string         `json:"key"`
+	Attempt  string         `json:"attempt"`
+	Response *weir.Response `json:"answer,omitempty"`
 }
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -192,7 +192,7 @@
 	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPageSize}
 	for _, key := range keys[:min(len(keys), dumpPageSize)] {
 		rec := st.records[key]
-		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Answer: rec.answer})
+		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Response: rec.answer})
 	}
 	return page
 }
@@ -208,10 +208,10 @@
 			continue
 		}
 		old, ok := st.records[rec.Key]
-		if ok && (old.answer != nil || rec.Answer == nil) {
+		if ok && (old.answer != nil || rec.Response == nil) {
 			continue
 		}
-		st.put(key, record{attempt: rec.Attempt, answer: rec.Answer, copied: true})
+		st.put(key, record{attempt: rec.Attempt, answer: rec.Response, copied: true})
 	}
 }
 
