--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -148,10 +148,10 @@
 // the key if that is another one, Answer the recorded outcome and Reason that of
 // a refusal.
 type ReserveResponse struct {
-	State   ReserveState   `json:"state"`
-	Attempt string         `json:"attempt,omitempty"`
-	Answer  *weir.Response `json:"answer,omitempty"`
-	Reason  string         `json:"reason,omitempty"`
+	State    ReserveState   `json:"state"`
+	Attempt  string         `json:"attempt,omitempty"`
+	Recorded *weir.Response `json:"answer,omitempty"`
+	Reason   string         `json:"reason,omitempty"`
 }
 
 // FinishRequest is the request of LedgerFinish. An attempt that did not run frees the
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -106,7 +106,7 @@
 		case peerapi.ReserveGranted:
 			granted++
 		case peerapi.ReserveRecorded:
-			cl.Answer = vt.answer.Answer
+			cl.Answer = vt.answer.Recorded
 			cl.Holder = vt.answer.Attempt
 			return cl
 		case peerapi.ReserveHeld:
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -157,7 +157,7 @@
 	st.Finish(peerapi.FinishRequest{Key: k1, Attempt: "a", Response: complete})
 	recorded := st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"})
 	require.Equal(t, peerapi.ReserveRecorded, recorded.State)
-	require.Equal(t, &complete, recorded.Answer)
+	require.Equal(t, &complete, recorded.Recorded)
 	clk.Advance(3 * time.Minute)
 	require.Equal(t, "key out of range", st.Reserve(clk.Now(), peerapi.ReserveRequest{Key: k1, Attempt: "b"}).Reason, "past retention")
 	require.Zero(t, st.Stats().Keys)
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -121,7 +121,7 @@
 
 func (rc record) response(attempt string) peerapi.ReserveResponse {
 	if rc.answer != nil {
-		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
+		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Recorded: rc.answer}
 	}
 	if rc.attempt == attempt {
 		return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
