--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -259,12 +259,12 @@
 		return ans
 	}
 	holder, _, _ := strings.Cut(claim.Holder, "/")
-	if claim.Answer.Kind == weir.Unknown && holder != "" && holder != dp.Self {
+	if claim.Response.Kind == weir.Unknown && holder != "" && holder != dp.Self {
 		ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 		defer cancel()
-		return dp.awaitAttemptAt(ctx, holder, peerapi.JoinRequest{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
+		return dp.awaitAttemptAt(ctx, holder, peerapi.JoinRequest{Key: req.Key, Attempt: claim.Holder}, *claim.Response)
 	}
-	return *claim.Answer
+	return *claim.Response
 }
 
 // awaitAttemptAt waits for the outcome of an attempt at the instance that holds
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -74,9 +74,9 @@
 type Claim struct {
 	// Won reports whether this attempt, and no other, may be dispatched.
 	Won bool
-	// Answer is the response to return if the claim is not won: the recorded
+	// Response is the response to return if the claim is not won: the recorded
 	// one, or "unknown".
-	Answer *weir.Response
+	Response *weir.Response
 	// Holder is the attempt that holds the key, if a replica named one.
 	Holder string
 
@@ -106,7 +106,7 @@
 		case peerapi.ReserveGranted:
 			granted++
 		case peerapi.ReserveRecorded:
-			cl.Answer = vt.answer.Recorded
+			cl.Response = vt.answer.Recorded
 			cl.Holder = vt.answer.Attempt
 			return cl
 		case peerapi.ReserveHeld:
@@ -120,7 +120,7 @@
 		}
 	}
 	ans := weir.UnknownResponse(reason)
-	cl.Answer = &ans
+	cl.Response = &ans
 	// This attempt is not dispatched, so the replicas that granted it the key
 	// may free it.
 	go cl.finishAll(weir.NotRunResponse("not claimed"))
--- a/internal/entry/ledger/ledger_test.go
+++ b/internal/entry/ledger/ledger_test.go
@@ -194,7 +194,7 @@
 			claim := fm.group("a1", ids...).Claim(context.Background(), key, "a1/1")
 			require.Equal(t, tc.won, claim.Won)
 			if !tc.won {
-				require.Equal(t, weir.Unknown, claim.Answer.Kind, "an earlier attempt may have run")
+				require.Equal(t, weir.Unknown, claim.Response.Kind, "an earlier attempt may have run")
 			}
 		})
 	}
@@ -243,7 +243,7 @@
 				claim := fm.group(id, ids...).Claim(context.Background(), key, fmt.Sprintf("%s/%d", id, step))
 				if claim.Won {
 					wins[key]++
-				} else if claim.Answer != nil && claim.Answer.Kind == weir.Unknown {
+				} else if claim.Response != nil && claim.Response.Kind == weir.Unknown {
 					refusedKeys++
 				}
 			}
