--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -136,7 +136,7 @@
 func (ec *entryCommand) entryInstances() []ledger.EntryInstance {
 	entries := make([]ledger.EntryInstance, 0, len(ec.peers))
 	for _, pe := range ec.peers {
-		entries = append(entries, ledger.EntryInstance{Entry: pe.ID, Zone: pe.Zone})
+		entries = append(entries, ledger.EntryInstance{ID: pe.ID, Zone: pe.Zone})
 	}
 	return entries
 }
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -158,7 +158,7 @@
 	var ids []string
 	for _, ei := range dp.Entries {
 		if ei.Zone == zone {
-			ids = append(ids, ei.Entry)
+			ids = append(ids, ei.ID)
 		}
 	}
 	sort.Slice(ids, func(a, b int) bool { return ledger.Rank(key, ids[a]) > ledger.Rank(key, ids[b]) })
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -84,7 +84,7 @@
 		fm.stores[id] = ledger.NewStore(old, 10*time.Minute, 100)
 	}
 	return &fixture{mesh: fm, Dispatcher: &Dispatcher{
-		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
+		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{ID: "a1", Zone: "a"}, {ID: "a2", Zone: "a"}, {ID: "a3", Zone: "a"}},
 		Table: tb, Mesh: fm, Store: fm.stores["a1"], Clock: clk,
 	}}
 }
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -29,8 +29,8 @@
 
 // EntryInstance is an entry instance and its zone.
 type EntryInstance struct {
-	Entry string
-	Zone  weir.Zone
+	ID   string
+	Zone weir.Zone
 }
 
 // Replicas returns the entry instances that keep the ledger of a zone: up to
@@ -43,11 +43,11 @@
 		if sorted[a].Zone != sorted[b].Zone {
 			return precedes(sorted[a].Zone, zone, sorted[b].Zone)
 		}
-		return sorted[a].Entry < sorted[b].Entry
+		return sorted[a].ID < sorted[b].ID
 	})
 	ids := make([]string, 0, groupSize)
 	for _, ei := range sorted[:min(len(sorted), groupSize)] {
-		ids = append(ids, ei.Entry)
+		ids = append(ids, ei.ID)
 	}
 	return ids
 }
