--- a/internal/entry/placement/announce.go
+++ b/internal/entry/placement/announce.go
@@ -219,15 +219,15 @@
 
 // EndpointState is the state of an endpoint at this entry instance.
 type EndpointState struct {
-	Instance weir.InstanceID  `json:"instance"`
-	Address  string           `json:"address"`
-	Lease    endpoint.Lease   `json:"lease"`
-	Service  weir.ServiceName `json:"service"`
-	Serving  bool             `json:"serving"`
-	Up       bool             `json:"up"`
-	Busy     int              `json:"busy"`
-	Foreign  int              `json:"foreign,omitempty"`
-	Ejected  bool             `json:"ejected,omitempty"`
+	Instance           weir.InstanceID  `json:"instance"`
+	Address            string           `json:"address"`
+	Lease              endpoint.Lease   `json:"lease"`
+	Service            weir.ServiceName `json:"service"`
+	Serving            bool             `json:"serving"`
+	Up                 bool             `json:"up"`
+	Busy               int              `json:"busy"`
+	PriorOwnerInFlight int              `json:"foreign,omitempty"`
+	Ejected            bool             `json:"ejected,omitempty"`
 }
 
 // Endpoints returns the state of all leased endpoints, for the state dump.
@@ -239,7 +239,7 @@
 	for _, ep := range tb.endpoints {
 		list = append(list, EndpointState{
 			Instance: ep.id, Address: ep.addr, Lease: ep.lease, Service: ep.service, Serving: ep.serving,
-			Up: ep.up(now), Busy: ep.busy, Foreign: ep.foreign, Ejected: ep.ejected(),
+			Up: ep.up(now), Busy: ep.busy, PriorOwnerInFlight: ep.foreign, Ejected: ep.ejected(),
 		})
 	}
 	return list
