--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -78,7 +78,7 @@
 				end = wv.ExpectedEnd.Format(time.RFC3339)
 			}
 			rows = append(rows, []string{
-				wv.Name, string(wv.State), strconv.Itoa(wv.Todo), strconv.Itoa(len(wv.Active)), strconv.Itoa(wv.Done),
+				wv.Name, string(wv.State), strconv.Itoa(wv.Pending), strconv.Itoa(len(wv.Active)), strconv.Itoa(wv.Done),
 				strconv.Itoa(len(wv.Stuck)), end,
 			})
 		}
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -96,7 +96,7 @@
 type WaveStatus struct {
 	Name      string            `json:"name"`
 	State     fsm.WaveState     `json:"state"`
-	Todo      int               `json:"todo"`
+	Pending   int               `json:"todo"`
 	Active    []weir.InstanceID `json:"active"`
 	Done      int               `json:"done"`
 	Stuck     []weir.InstanceID `json:"stuck,omitempty"`
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -186,7 +186,7 @@
 
 func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
-		Name: wv.Name, State: wv.State, Todo: len(wv.Pending), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
+		Name: wv.Name, State: wv.State, Pending: len(wv.Pending), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
 		Active: sortedIDs(wv.Active), Stuck: sortedIDs(wv.Stuck),
 	}
 	if !wv.EndedAt.IsZero() {
