--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -151,7 +151,7 @@
 // Execute implements flags.Commander.
 func (im *instanceMove) Execute([]string) error {
 	return im.sendCommand("/v1/moves", operator.MoveRequest{
-		RequestID: im.ensureRequestID(), Instance: weir.InstanceID(im.Args.Instance), To: weir.PoolName(im.Args.Pool),
+		RequestID: im.ensureRequestID(), Instance: weir.InstanceID(im.Args.Instance), TargetPool: weir.PoolName(im.Args.Pool),
 	})
 }
 
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -48,9 +48,9 @@
 
 // MoveRequest moves an instance to a pool.
 type MoveRequest struct {
-	RequestID string          `json:"requestId"`
-	Instance  weir.InstanceID `json:"instance"`
-	To        weir.PoolName   `json:"to"`
+	RequestID  string          `json:"requestId"`
+	Instance   weir.InstanceID `json:"instance"`
+	TargetPool weir.PoolName   `json:"to"`
 }
 
 // AbandonRequest cancels the drain of an instance.
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -236,7 +236,7 @@
 	}
 	// Lent keeps the leader from moving the instance back to its configured pool.
 	return ap.propose(ech, command.Command{
-		RequestID: req.RequestID, Move: &command.Move{Instance: req.Instance, TargetPool: req.To, Lent: true},
+		RequestID: req.RequestID, Move: &command.Move{Instance: req.Instance, TargetPool: req.TargetPool, Lent: true},
 	})
 }
 
