--- a/internal/capacity/balance/balance.go
+++ b/internal/capacity/balance/balance.go
@@ -96,8 +96,8 @@
 
 // Move sends a machine to another pool.
 type Move struct {
-	Machine string
-	To      weir.PoolName
+	Machine    string
+	TargetPool weir.PoolName
 }
 
 // Decision is the result of Decide.
@@ -218,7 +218,7 @@
 	// A moving machine counts for its new pool, but cannot move again.
 	mc.Movable = false
 	ba.byPool[to] = append(ba.byPool[to], mc)
-	ba.decision.Moves = append(ba.decision.Moves, Move{Machine: mc.Name, To: to})
+	ba.decision.Moves = append(ba.decision.Moves, Move{Machine: mc.Name, TargetPool: to})
 }
 
 // releaseSurplus moves idle machines that pools no longer need to a standby pool
--- a/internal/capacity/balance/balance_test.go
+++ b/internal/capacity/balance/balance_test.go
@@ -49,7 +49,7 @@
 func flows(dec Decision) map[string]int {
 	out := map[string]int{}
 	for _, mv := range dec.Moves {
-		out[mv.Machine[:len(mv.Machine)-3]+">"+string(mv.To)]++
+		out[mv.Machine[:len(mv.Machine)-3]+">"+string(mv.TargetPool)]++
 	}
 	return out
 }
--- a/internal/job/scheduler/rebalance.go
+++ b/internal/job/scheduler/rebalance.go
@@ -94,11 +94,11 @@
 		mst.draining[name] = true
 	}
 	for _, mv := range dec.Moves {
-		load := loads[mv.To]
-		_ = sc.Logger.Log("level", "info", "msg", "machine move submitted", "machine", mv.Machine, "to", mv.To, "have", have[mv.To],
+		load := loads[mv.TargetPool]
+		_ = sc.Logger.Log("level", "info", "msg", "machine move submitted", "machine", mv.Machine, "to", mv.TargetPool, "have", have[mv.TargetPool],
 			"busy", load.Busy, "waiting", load.Waiting, "rate", load.ArrivalRate, "lasting", load.LongRunning)
 		mst.lastOrderAt[mv.Machine] = time.Time{}
-		sc.commitOperation(ls, store.MachineOperation{Machine: mv.Machine, Pool: mv.To}, byMachine[mv.Machine])
+		sc.commitOperation(ls, store.MachineOperation{Machine: mv.Machine, Pool: mv.TargetPool}, byMachine[mv.Machine])
 	}
 }
 
