--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -64,10 +64,10 @@
 	// Ready returns nil if callers may use this instance, or the reason why
 	// they should not.
 	Ready func() error
-	// DrainNotice is the time between the start of a stop and the closing of
+	// ShutdownDelay is the time between the start of a stop and the closing of
 	// the listener, in which the load balancer can notice the stop.
 	// DrainPatience is the time for requests in flight after that.
-	DrainNotice   time.Duration
+	ShutdownDelay time.Duration
 	DrainPatience time.Duration
 
 	listener net.Listener
@@ -109,7 +109,7 @@
 	case <-ctx.Done():
 	}
 	sv.stopping.Store(true)
-	time.Sleep(sv.DrainNotice)
+	time.Sleep(sv.ShutdownDelay)
 	cancel()
 	return <-done
 }
