--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -108,7 +108,7 @@
 	}
 	pr.callerServer = &callerapi.Server{
 		Addr: ec.CallerAddr, Zone: zone, Dispatcher: dp, Services: pr.table, Clock: clk,
-		Ready: pr.ready, ShutdownDelay: ec.DrainNotice, DrainPatience: ec.DrainPatience,
+		Ready: pr.ready, ShutdownDelay: ec.DrainNotice, ShutdownTimeout: ec.DrainPatience,
 	}
 	sv := &serve.PeerHandler{Dispatcher: dp, Table: pr.table, Store: pr.store, Mesh: pr.mesh, Clock: clk}
 	pr.components = []weir.Component{
--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -67,8 +67,8 @@
 	// ShutdownDelay is the time between the start of a stop and the closing of
 	// the listener, in which the load balancer can notice the stop.
 	// DrainPatience is the time for requests in flight after that.
-	ShutdownDelay time.Duration
-	DrainPatience time.Duration
+	ShutdownDelay   time.Duration
+	ShutdownTimeout time.Duration
 
 	listener net.Listener
 	server   *http.Server
@@ -102,7 +102,7 @@
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- ops.Serve(serveCtx, sv.server, sv.listener, sv.DrainPatience) }()
+	go func() { done <- ops.Serve(serveCtx, sv.server, sv.listener, sv.ShutdownTimeout) }()
 	select {
 	case err := <-done:
 		return err
