--- a/internal/common/auth/auth.go
+++ b/internal/common/auth/auth.go
@@ -25,9 +25,9 @@
 
 // Error kinds.
 const (
-	KindRead  Kind = "cannot read token file"
-	KindShort Kind = "a token needs at least 16 characters"
-	KindEmpty Kind = "token file is empty"
+	KindRead          Kind = "cannot read token file"
+	KindTokenTooShort Kind = "a token needs at least 16 characters"
+	KindEmpty         Kind = "token file is empty"
 )
 
 // Error is the error type of this package.
@@ -59,7 +59,7 @@
 		}
 		token = strings.TrimSpace(token)
 		if len(token) < minTokenLength {
-			return nil, &Error{Op: "load " + path + ": operator " + name, Kind: KindShort}
+			return nil, &Error{Op: "load " + path + ": operator " + name, Kind: KindTokenTooShort}
 		}
 		op.tokens[name] = token
 	}
@@ -77,7 +77,7 @@
 	}
 	token := strings.TrimSpace(string(body))
 	if len(token) < minTokenLength {
-		return "", &Error{Op: "load " + path, Kind: KindShort}
+		return "", &Error{Op: "load " + path, Kind: KindTokenTooShort}
 	}
 	return token, nil
 }
