--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -35,8 +35,8 @@
 	ledger.Caller
 	Ready(id string) bool
 	PickPeer(service weir.ServiceName) (string, bool)
-	Has(service weir.ServiceName) bool
-	Exhausted(id string, service weir.ServiceName)
+	HasFreeSlot(service weir.ServiceName) bool
+	MarkExhausted(id string, service weir.ServiceName)
 }
 
 // Dispatcher implements weir.Dispatcher. Set the exported fields before use.
@@ -359,7 +359,7 @@
 			}
 			continue
 		}
-		slot, err = dp.Table.Acquire(ctx, &req, func() bool { return dp.Mesh.Has(req.Service) })
+		slot, err = dp.Table.Acquire(ctx, &req, func() bool { return dp.Mesh.HasFreeSlot(req.Service) })
 	}
 	return dp.sendToEndpoint(ctx, slot, req)
 }
@@ -371,12 +371,12 @@
 	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, postDeadlineWait(req))
 	switch {
 	case errkind.Is(err, peer.KindNotSent):
-		dp.Mesh.Exhausted(id, req.Service)
+		dp.Mesh.MarkExhausted(id, req.Service)
 		return weir.Response{}, true
 	case err != nil:
 		return weir.UnknownResponse("entry " + id + " did not answer"), false
 	case ans.Kind == weir.NotRun && ans.Reason == ReasonNoSlot:
-		dp.Mesh.Exhausted(id, req.Service)
+		dp.Mesh.MarkExhausted(id, req.Service)
 		return weir.Response{}, true
 	}
 	return ans, false
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -51,8 +51,8 @@
 }
 func (fm *fakeMesh) Ready(string) bool                        { return !fm.down.Load() }
 func (fm *fakeMesh) PickPeer(weir.ServiceName) (string, bool) { return "", false }
-func (fm *fakeMesh) Has(weir.ServiceName) bool                { return false }
-func (fm *fakeMesh) Exhausted(string, weir.ServiceName)       {}
+func (fm *fakeMesh) HasFreeSlot(weir.ServiceName) bool        { return false }
+func (fm *fakeMesh) MarkExhausted(string, weir.ServiceName)   {}
 
 // fixture is a dispatcher with its fake mesh.
 type fixture struct {
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -144,8 +144,8 @@
 	return best, true
 }
 
-// Has reports whether any reachable peer advertises a free slot for a service.
-func (ms *Mesh) Has(service weir.ServiceName) bool {
+// HasFreeSlot reports whether any reachable peer advertises a free slot for a service.
+func (ms *Mesh) HasFreeSlot(service weir.ServiceName) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	for id, ad := range ms.adverts {
@@ -156,9 +156,9 @@
 	return false
 }
 
-// Exhausted records that a peer has no free slot for a service until its next
+// MarkExhausted records that a peer has no free slot for a service until its next
 // advert.
-func (ms *Mesh) Exhausted(id string, service weir.ServiceName) {
+func (ms *Mesh) MarkExhausted(id string, service weir.ServiceName) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	if ad, ok := ms.adverts[id]; ok {
