--- a/task.go
+++ b/task.go
@@ -186,9 +186,9 @@
 
 // MachineOrder orders one operation on one machine, on behalf of a leader.
 type MachineOrder struct {
-	Machine string
-	Holder  string
-	Token   uint64
+	Machine     string
+	LeaseHolder string
+	Token       uint64
 	// Wave is set for maintenance, Pool for a move to another pool.
 	Wave int64
 	Pool PoolName
