--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -87,7 +87,7 @@
 	com := &scheduler.Committer{Log: lr.node, Wall: wallClock}
 	sch := &scheduler.Scheduler{
 		Store: str, Committer: com, Leadership: lr.node, Workers: lr.Workers, Machines: lr.Machines, MachineOrderRate: lr.MachineOrderRate, Adviser: lr.Adviser, Clock: bootClock, Wall: wallClock, Logger: lg,
-		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, HolderName: lr.HolderName, MachineOrderDelay: lr.MachineOrderDelay,
+		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, LeaseHolder: lr.HolderName, MachineOrderDelay: lr.MachineOrderDelay,
 	}
 	str.OnApplied = sch.Wake
 	lr.handler = &handler.Handler{
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -91,8 +91,8 @@
 	// OnLeadershipChange is called when this process gains or loses leadership;
 	// it may be nil.
 	OnLeadershipChange func(leads bool)
-	// HolderName identifies this process to the machine platform.
-	HolderName string
+	// LeaseHolder identifies this process to the machine platform.
+	LeaseHolder string
 	// MachineOrderDelay is how long after an election, or after an earlier
 	// leader's order for a machine, this leader sends that machine no order.
 	MachineOrderDelay time.Duration
