--- a/internal/common/ops/listener.go
+++ b/internal/common/ops/listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Listener is a step that serves HTTP on an address. When its context ends, it
-// keeps accepting requests for ShutdownDelay, so that callers that a load
+// Listener is a component that serves HTTP on an address. When its context ends,
+// it keeps accepting requests for ShutdownDelay, so that callers that a load
 // balancer still sends here get responses. Then it gives requests in flight up
 // to ShutdownTimeout to finish.
 type Listener struct {
@@ -21,7 +21,7 @@
 	lis net.Listener
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (ls *Listener) String() string { return ls.Name }
 
 // Default opens the listener.
--- a/internal/common/ops/ops.go
+++ b/internal/common/ops/ops.go
@@ -72,7 +72,7 @@
 	State      any                   `json:"state"`
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (sv *Server) String() string { return "operators' server" }
 
 // Default opens the listener and registers the routes.
--- a/internal/common/run/func.go
+++ b/internal/common/run/func.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Func is a step that runs a function and has no settings.
+// Func is a component that runs a function and has no settings.
 type Func struct {
 	Name string
 	Do   func(ctx context.Context) error
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (fn *Func) String() string { return fn.Name }
 
 // Default does nothing.
--- a/internal/common/run/run.go
+++ b/internal/common/run/run.go
@@ -1,5 +1,5 @@
-// Package run runs the long-lived components of a process, called steps, in one
-// goroutine each, and stops them in reverse order.
+// Package run runs the long-lived components of a process in one goroutine each
+// and stops them in reverse order.
 //
 // Usage:
 //
@@ -16,25 +16,25 @@
 	weir "greengageweir"
 )
 
-// Defaults sets defaults and validates the settings of all steps.
-func Defaults(steps ...weir.Component) error {
-	for _, stp := range steps {
-		if err := stp.Default(); err != nil {
-			return errors.Wrapf(err, "settings of %s", stp)
+// Defaults sets defaults and validates the settings of all components.
+func Defaults(components ...weir.Component) error {
+	for _, com := range components {
+		if err := com.Default(); err != nil {
+			return errors.Wrapf(err, "settings of %s", com)
 		}
 	}
 	return nil
 }
 
-// All runs the steps until the context ends or one of them fails. Then it stops
-// them from last to first and waits for each before it stops the next.
-func All(ctx context.Context, lg log.Logger, steps ...weir.Component) error {
-	if err := Defaults(steps...); err != nil {
+// All runs the components until the context ends or one of them fails. Then it
+// stops them from last to first and waits for each before it stops the next.
+func All(ctx context.Context, lg log.Logger, components ...weir.Component) error {
+	if err := Defaults(components...); err != nil {
 		return err
 	}
 	group := newGroup(lg)
-	for _, stp := range steps {
-		group.start(stp)
+	for _, com := range components {
+		group.start(com)
 	}
 	var err error
 	select {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// group is a set of running steps.
+// group is a set of running components.
 type group struct {
 	lg      log.Logger
 	failed  chan error
@@ -58,19 +58,19 @@
 	return &group{lg: lg, failed: make(chan error, 1)}
 }
 
-func (gr *group) start(stp weir.Component) {
+func (gr *group) start(com weir.Component) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	gr.cancels = append(gr.cancels, cancel)
 	gr.dones = append(gr.dones, done)
 	go func() {
 		defer close(done)
-		_ = gr.lg.Log("level", "debug", "msg", "step started", "step", stp.String())
-		err := stp.Run(ctx)
+		_ = gr.lg.Log("level", "debug", "msg", "step started", "step", com.String())
+		err := com.Run(ctx)
 		if err != nil && ctx.Err() == nil {
-			gr.once.Do(func() { gr.failed <- errors.Wrap(err, stp.String()) })
+			gr.once.Do(func() { gr.failed <- errors.Wrap(err, com.String()) })
 		}
-		_ = gr.lg.Log("level", "debug", "msg", "step ended", "step", stp.String())
+		_ = gr.lg.Log("level", "debug", "msg", "step ended", "step", com.String())
 	}()
 }
 
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -121,8 +121,8 @@
 	Free  map[weir.ServiceName]int `json:"free"`
 }
 
-// ReserveRequest is the request of LedgerReserve: it reserves a key for an attempt at
-// one replica of the ledger.
+// ReserveRequest is the request of LedgerReserve: it reserves a key for an attempt
+// at one replica of the ledger.
 type ReserveRequest struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
@@ -145,8 +145,8 @@
 )
 
 // ReserveResponse is the response of LedgerReserve. Attempt is the holder of
-// the key if that is another one, Answer the recorded outcome and Reason that of
-// a refusal.
+// the key if that is another one, Recorded the recorded outcome and Reason that
+// of a refusal.
 type ReserveResponse struct {
 	State    ReserveState   `json:"state"`
 	Attempt  string         `json:"attempt,omitempty"`
@@ -154,8 +154,8 @@
 	Reason   string         `json:"reason,omitempty"`
 }
 
-// FinishRequest is the request of LedgerFinish. An attempt that did not run frees the
-// key.
+// FinishRequest is the request of LedgerFinish. An attempt that did not run frees
+// the key.
 type FinishRequest struct {
 	Key      string        `json:"key"`
 	Attempt  string        `json:"attempt"`
@@ -168,7 +168,8 @@
 	Attempt string `json:"attempt"`
 }
 
-// DumpRequest is the request of LedgerDump: the records after a key, in order of keys.
+// DumpRequest is the request of LedgerDump: the records after a key, in order of
+// keys.
 type DumpRequest struct {
 	After string `json:"after"`
 }
@@ -183,8 +184,8 @@
 	More bool `json:"more"`
 }
 
-// Record is the ledger's record of one key. Answer is nil while the attempt has
-// no outcome.
+// Record is the ledger's record of one key. Response is nil while the attempt
+// has no outcome.
 type Record struct {
 	Key      string         `json:"key"`
 	Attempt  string         `json:"attempt"`
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -95,7 +95,8 @@
 	return list
 }
 
-// DemandByService returns the total load of each service at the reporting entry instances.
+// DemandByService returns the total load of each service at the reporting entry
+// instances.
 func (rg *Registry) DemandByService(now time.Time) map[weir.ServiceName]peerapi.Demand {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -66,7 +66,7 @@
 	Ready func() error
 	// ShutdownDelay is the time between the start of a stop and the closing of
 	// the listener, in which the load balancer can notice the stop.
-	// DrainPatience is the time for requests in flight after that.
+	// ShutdownTimeout is the time for requests in flight after that.
 	ShutdownDelay   time.Duration
 	ShutdownTimeout time.Duration
 
@@ -97,7 +97,7 @@
 }
 
 // Run serves until the context ends. It then reports that it is stopping, waits
-// for DrainNotice, closes the listener and lets requests in flight finish.
+// for ShutdownDelay, closes the listener and lets requests in flight finish.
 func (sv *Server) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/entry/mesh/mesh.go
+++ b/internal/entry/mesh/mesh.go
@@ -144,7 +144,8 @@
 	return best, true
 }
 
-// HasFreeSlot reports whether any reachable peer advertises a free slot for a service.
+// HasFreeSlot reports whether any reachable peer advertises a free slot for a
+// service.
 func (ms *Mesh) HasFreeSlot(service weir.ServiceName) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -156,8 +157,8 @@
 	return false
 }
 
-// MarkExhausted records that a peer has no free slot for a service until its next
-// advert.
+// MarkExhausted records that a peer has no free slot for a service until its
+// next advert.
 func (ms *Mesh) MarkExhausted(id string, service weir.ServiceName) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -181,8 +181,8 @@
 	Reports []UsageReport `json:"reports"`
 }
 
-// ProcessUpdate registers an entry instance, or removes one that has been shut down for
-// good.
+// ProcessUpdate registers an entry instance, or removes one that has been shut
+// down for good.
 type ProcessUpdate struct {
 	ID     string    `json:"id"`
 	Zone   weir.Zone `json:"zone"`
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -57,10 +57,12 @@
 	priorLeaderGrace = time.Second
 )
 
-// TermLeadership reports whether this process is certain to lead, and in which term.
+// TermLeadership reports whether this process is certain to lead, and in which
+// term.
 type TermLeadership interface {
 	weir.Leadership
-	// LeaderTerm returns the term in which this process leads, 0 if it does not lead.
+	// LeaderTerm returns the term in which this process leads, 0 if it does not
+	// lead.
 	LeaderTerm() uint64
 }
 
--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -122,8 +122,8 @@
 func (cl *Client) Connected() bool { return cl.Conn() != nil }
 
 // Call sends a request and waits for its result. The error is of KindNotSent if the
-// link is down, of KindRemote if the other side returned an error and of KindLost if
-// the request may have been handled.
+// link is down, of KindRemote if the other side returned an error and of
+// KindReplyLost if the request may have been handled.
 func (cl *Client) Call(ctx context.Context, method string, params, result any) error {
 	conn := cl.Conn()
 	if conn == nil {
--- a/internal/link/peer/peer.go
+++ b/internal/link/peer/peer.go
@@ -30,9 +30,10 @@
 	// KindNotSent means that the request did not reach the other side.
 	KindNotSent Kind = "not sent"
 	// KindReplyLost means that the other side may have handled the request.
-	KindReplyLost       Kind = "reply lost"
-	KindRemote          Kind = "refused by the other side"
-	KindTooLarge        Kind = "frame too large"
+	KindReplyLost Kind = "reply lost"
+	KindRemote    Kind = "refused by the other side"
+	KindTooLarge  Kind = "frame too large"
+	// KindInvalidSettings means that an address or a token is missing.
 	KindInvalidSettings Kind = "not a peer"
 	KindListen          Kind = "cannot listen"
 )
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -65,7 +65,7 @@
 	raftQueue chan replica.Message
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (ls *Links) String() string { return "member links" }
 
 // Default adds the processes in Addrs.
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -5,9 +5,9 @@
 //
 // Usage:
 //
-//	ro := &roster.Roster{Self: id, HoldsLog: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
+//	ro := &roster.Roster{Self: id, IsReplica: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
 //	go ro.Run(ctx)
-//	rep := ro.HandleIntroduction(req) // handles jobapi.DirectoryMethod
+//	rep := ro.HandleDirectoryRequest(req) // handles jobapi.DirectoryMethod
 package roster
 
 import (
@@ -64,7 +64,7 @@
 	leader   string
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (ro *Roster) String() string { return "roster" }
 
 // Default adds the seeds to the directory.
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -114,7 +114,7 @@
 	err   error
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (nd *Node) String() string { return "replicated log" }
 
 // Default sets defaults and validates the settings.
@@ -372,7 +372,8 @@
 	return nd.status
 }
 
-// LeaderTerm returns the term in which this member is the leader, 0 if it is not.
+// LeaderTerm returns the term in which this member is the leader, 0 if it is
+// not.
 func (nd *Node) LeaderTerm() uint64 {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -382,9 +383,9 @@
 	return nd.status.Term
 }
 
-// IsLeader reports whether this member is the leader and its leader lease has not
-// expired. It reads the clock, since the process may have been suspended since
-// the last tick.
+// IsLeader reports whether this member is the leader and its leader lease has
+// not expired. It reads the clock, since the process may have been suspended
+// since the last tick.
 func (nd *Node) IsLeader() bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
--- a/task.go
+++ b/task.go
@@ -32,7 +32,7 @@
 // WorkerIncarnation identifies one incarnation of a worker and its address.
 type WorkerIncarnation struct {
 	ID InstanceID
-	// Incarnation is the incarnation: the start time in milliseconds since 1970.
+	// Incarnation is the worker's start time in milliseconds since 1970.
 	Incarnation int64 `json:"Born"`
 	Address     string
 }
@@ -85,7 +85,7 @@
 	RunKey
 	// Number increases by one with each end on one incarnation of the worker.
 	Number int64
-	// Reason is the reason of the end, an EndReason of internal/job/store.
+	// Reason is an EndReason of internal/job/store.
 	Reason     string `json:"How"`
 	Checkpoint string
 }
