--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -51,8 +51,8 @@
 	// OnLeadershipChange is called when this process gains or loses leadership; it
 	// may be nil.
 	OnLeadershipChange func(leads bool)
-	// HolderName names this process in its orders for machines.
-	HolderName string
+	// LeaseHolder names this process in its orders for machines.
+	LeaseHolder string
 	// MachineOrderDelay is the minimum time between orders of two different
 	// leaders for one machine.
 	MachineOrderDelay time.Duration
@@ -87,7 +87,7 @@
 	com := &scheduler.Committer{Log: lr.node, Wall: wallClock}
 	sch := &scheduler.Scheduler{
 		Store: str, Committer: com, Leadership: lr.node, Workers: lr.Workers, Machines: lr.Machines, MachineOrderRate: lr.MachineOrderRate, Adviser: lr.Adviser, Clock: bootClock, Wall: wallClock, Logger: lg,
-		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, LeaseHolder: lr.HolderName, MachineOrderDelay: lr.MachineOrderDelay,
+		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, LeaseHolder: lr.LeaseHolder, MachineOrderDelay: lr.MachineOrderDelay,
 	}
 	str.OnApplied = sch.Wake
 	lr.handler = &handler.Handler{
--- a/cmd/greengageweir/platform_control.go
+++ b/cmd/greengageweir/platform_control.go
@@ -69,7 +69,7 @@
 	lr := &logReplica{
 		PeerAddr: st.PeerAddress(), Zone: string(st.Zone), Token: peerToken, Seeds: st.SeedPeers(), DataDir: st.DataDir,
 		Voters: 2*st.Tolerance.Machines + 1, Retention: time.Duration(st.Bounds.RetentionS*float64(time.Second)) + retentionMargin,
-		HolderName: st.Name, MachineOrderDelay: st.MachineOrderDelay() + machineOrderMargin,
+		LeaseHolder: st.Name, MachineOrderDelay: st.MachineOrderDelay() + machineOrderMargin,
 		Workers: platform.NewWorkerClient(clock.BootTime{}), Logger: lg,
 	}
 	if st.Cloud.Address != "" {
