--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// ReplicaIDs returns the ids of the known processes that hold a replica of the log,
-// sorted.
+// ReplicaIDs returns the sorted ids of the known processes that hold a replica of
+// the log.
 func (ro *Roster) ReplicaIDs() []string {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
