--- a/cmd/greengageweir/entry.go
+++ b/cmd/greengageweir/entry.go
@@ -15,8 +15,8 @@
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/placement"
 	"greengageweir/internal/entry/report"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/entry/serve"
 	"greengageweir/internal/entry/viewsync"
 	"greengageweir/internal/link/peer"
@@ -85,7 +85,7 @@
 // entryProcess holds the components of an entry instance.
 type entryProcess struct {
 	clk          clock.System
-	table        *placement.Table
+	table        *routing.Table
 	store        *ledger.Store
 	mesh         *mesh.Mesh
 	subscriber   *viewsync.Subscriber
@@ -97,7 +97,7 @@
 	clk := clock.System{}
 	zone := weir.Zone(ec.Zone)
 	self := peer.Identity{ID: ec.ID, Role: "entry", Zone: ec.Zone}
-	pr := &entryProcess{clk: clk, table: placement.New(clk, zone)}
+	pr := &entryProcess{clk: clk, table: routing.New(clk, zone)}
 	pr.store = ledger.NewStore(clk.Now(), ec.LedgerRetention, ec.LedgerKeys)
 	pr.mesh = &mesh.Mesh{Self: self, Peers: ec.peers, Token: deps.token, Clock: clk, Logger: deps.logger, Free: pr.table.FreeSlots}
 	pr.subscriber = &viewsync.Subscriber{
@@ -181,12 +181,12 @@
 
 // entryState is an entry instance's part of the state dump.
 type entryState struct {
-	ViewIndex    uint64                    `json:"view"`
-	ConfigNumber uint64                    `json:"number"`
-	InFlight     int64                     `json:"inFlight"`
-	Ledger       ledger.Stats              `json:"ledger"`
-	Endpoints    []placement.EndpointState `json:"endpoints"`
-	Demand       any                       `json:"demand"`
+	ViewIndex    uint64                  `json:"view"`
+	ConfigNumber uint64                  `json:"number"`
+	InFlight     int64                   `json:"inFlight"`
+	Ledger       ledger.Stats            `json:"ledger"`
+	Endpoints    []routing.EndpointState `json:"endpoints"`
+	Demand       any                     `json:"demand"`
 }
 
 func (pr *entryProcess) dump() any {
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -21,7 +21,7 @@
 	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/link/peer"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -44,7 +44,7 @@
 	Self    string
 	Zone    weir.Zone
 	Entries []ledger.EntryInstance
-	Table   *placement.Table
+	Table   *routing.Table
 	Mesh    Mesh
 	Store   *ledger.Store
 	Clock   weir.Clock
@@ -350,7 +350,7 @@
 func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Response, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
-		if !errkind.Is(err, placement.KindNoSlot) {
+		if !errkind.Is(err, routing.KindNoSlot) {
 			return weir.NotRunResponse(err.Error()), false
 		}
 		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
@@ -73,7 +73,7 @@
 	for _, id := range ids[:len(addrs)] {
 		vw.Members[id] = view.Member{Instance: id, Pool: "desk", Phase: view.Serving}
 	}
-	tb := placement.New(clk, "a")
+	tb := routing.New(clk, "a")
 	tb.SetView(vw)
 	for ix, addr := range addrs {
 		require.True(t, tb.Announce(endpoint.Announcement{Instance: ids[ix], Address: addr, State: endpoint.Serving}).Granted)
--- a/internal/entry/dispatch/send.go
+++ b/internal/entry/dispatch/send.go
@@ -7,7 +7,7 @@
 
 	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/link/httpconn"
 
 	"github.com/google/uuid"
@@ -18,7 +18,7 @@
 // sendToEndpoint runs a request on a slot and releases the slot. The second
 // result reports whether the request certainly did not run and another slot may
 // be tried.
-func (dp *Dispatcher) sendToEndpoint(ctx context.Context, slot *placement.Slot, req weir.Request) (weir.Response, bool) {
+func (dp *Dispatcher) sendToEndpoint(ctx context.Context, slot *routing.Slot, req weir.Request) (weir.Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 	defer cancel()
 	begin := dp.Clock.Now()
@@ -28,7 +28,7 @@
 		return responseForError(slot, err)
 	}
 	if reason := resp.Header(endpoint.HeaderRefused); reason != "" {
-		slot.Release(placement.Abandoned)
+		slot.Release(routing.Abandoned)
 		return weir.NotRunResponse("endpoint refused: " + reason), true
 	}
 	slot.Release(resultOf(resp.Status))
@@ -37,7 +37,7 @@
 	}, false
 }
 
-func (dp *Dispatcher) endpointRequest(slot *placement.Slot, req weir.Request) httpconn.Request {
+func (dp *Dispatcher) endpointRequest(slot *routing.Slot, req weir.Request) httpconn.Request {
 	out := httpconn.Request{
 		Method: req.Method, Host: string(slot.Instance), Path: req.Path, Body: req.Body, Repeatable: req.Repeatable,
 		Headers: []httpconn.Header{
@@ -60,19 +60,19 @@
 // responseForError releases the slot and returns the response for a failed
 // exchange. An exceeded deadline counts as a failure of the endpoint, since it
 // is the only sign of one that does not respond.
-func responseForError(slot *placement.Slot, err error) (weir.Response, bool) {
-	slot.Release(placement.Failed)
+func responseForError(slot *routing.Slot, err error) (weir.Response, bool) {
+	slot.Release(routing.Failed)
 	if errkind.Is(err, httpconn.KindNotSent) {
 		return weir.NotRunResponse("endpoint not reached"), true
 	}
 	return weir.UnknownResponse(err.Error()), false
 }
 
-func resultOf(status int) placement.Result {
+func resultOf(status int) routing.Result {
 	if status >= http.StatusInternalServerError {
-		return placement.Failed
+		return routing.Failed
 	}
-	return placement.Succeeded
+	return routing.Succeeded
 }
 
 // retryBudget limits retries to a share of the requests, so that retries cannot
--- a/internal/entry/report/report.go
+++ b/internal/entry/report/report.go
@@ -13,7 +13,7 @@
 
 	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/view"
 
 	"github.com/go-kit/log"
@@ -40,7 +40,7 @@
 	Self    string
 	Zone    weir.Zone
 	Started time.Time
-	Table   *placement.Table
+	Table   *routing.Table
 	Control ControlClient
 	Clock   weir.Clock
 	Logger  log.Logger
--- a/internal/entry/placement/spare.go
+++ b/internal/entry/routing/spare.go
@@ -1,4 +1,4 @@
-package placement
+package routing
 
 import (
 	"slices"
--- a/internal/entry/placement/table.go
+++ b/internal/entry/routing/table.go
@@ -10,7 +10,7 @@
 //	resp := tb.Announce(announcement)
 //	slot, err := tb.Acquire(ctx, &req, nil)
 //	slot.Release(placement.Succeeded)
-package placement
+package routing
 
 import (
 	"context"
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -21,7 +21,7 @@
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/link/peer"
 
 	"github.com/labstack/echo/v4"
@@ -43,7 +43,7 @@
 // fields before use.
 type PeerHandler struct {
 	Dispatcher *dispatch.Dispatcher
-	Table      *placement.Table
+	Table      *routing.Table
 	Store      *ledger.Store
 	Mesh       *mesh.Mesh
 	Clock      weir.Clock
@@ -115,7 +115,7 @@
 // the exported fields before Default.
 type AnnouncementServer struct {
 	Addr  string
-	Table *placement.Table
+	Table *routing.Table
 
 	listener net.Listener
 	server   *http.Server
--- a/internal/standin/peaks/peaks.go
+++ b/internal/standin/peaks/peaks.go
@@ -19,7 +19,7 @@
 	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/view"
 )
 
@@ -124,7 +124,7 @@
 	req     *weir.Request
 	arrived time.Duration
 	ends    time.Duration
-	slot    *placement.Slot
+	slot    *routing.Slot
 }
 
 type running []*job
@@ -152,7 +152,7 @@
 // simulation is one run.
 type simulation struct {
 	clk     *clock.Manual
-	tb      *placement.Table
+	tb      *routing.Table
 	vw      view.View
 	policy  Policy
 	demand  Demand
@@ -230,7 +230,7 @@
 		}
 	}
 	sm.vw.Config = cfg
-	sm.tb = placement.New(sm.clk, "zone")
+	sm.tb = routing.New(sm.clk, "zone")
 	sm.tb.SetView(sm.vw)
 	sm.announce()
 }
@@ -248,7 +248,7 @@
 	}
 	for len(sm.running) > 0 && sm.running[0].ends <= sm.at {
 		done, _ := heap.Pop(&sm.running).(*job)
-		done.slot.Release(placement.Succeeded)
+		done.slot.Release(routing.Succeeded)
 		sm.busy[serviceOf(done.req)]--
 	}
 	if sm.policy == Reactive {
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -8,7 +8,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/command"
 	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
@@ -122,8 +122,8 @@
 	return list
 }
 
-func (ms *measurer) tableOf(size int) *placement.Table {
-	tb := placement.New(ms.clk, "zone-00")
+func (ms *measurer) tableOf(size int) *routing.Table {
+	tb := routing.New(ms.clk, "zone-00")
 	tb.SetView(ms.fleetOf(size, nil).View())
 	return tb
 }
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -11,7 +11,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/entry/serve"
 	"greengageweir/internal/standin/worker"
 )
@@ -59,7 +59,7 @@
 
 func (ms *measurer) entryHeap() Slope {
 	return series("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
-		tb, heap := heapBytes(func() *placement.Table {
+		tb, heap := heapBytes(func() *routing.Table {
 			tb := ms.tableOf(size)
 			for ix := range size {
 				tb.Announce(announcementOf(ix))
