--- a/internal/entry/routing/table.go
+++ b/internal/entry/routing/table.go
@@ -1,15 +1,15 @@
-// Package placement assigns requests to endpoints. An entry instance uses only
+// Package routing assigns requests to endpoints. An entry instance uses only
 // endpoints that are leased to it, so that no two entry instances share the
 // slots of one endpoint. Requests that find no free slot wait in bounded
 // queues, one for each service and class, in which teams take turns.
 //
 // Usage:
 //
-//	tb := placement.New(clk, zone)
+//	tb := routing.New(clk, zone)
 //	tb.SetView(vw)
 //	resp := tb.Announce(announcement)
 //	slot, err := tb.Acquire(ctx, &req, nil)
-//	slot.Release(placement.Succeeded)
+//	slot.Release(routing.Succeeded)
 package routing
 
 import (
