--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -120,7 +120,7 @@
 	mc.life++
 	now := fl.Clock.Now()
 	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.life))
-	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Room: mc.Room}
+	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Capacity: mc.Room}
 	wk := store.Worker{
 		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Room,
 	}
@@ -139,8 +139,8 @@
 	us := wk.Usage()
 	wk.Kill()
 	fl.counted.Lost += us.Runs
-	fl.counted.LostWork += us.Running
-	fl.counted.Busy += us.Worked
+	fl.counted.LostWork += us.RunningWork
+	fl.counted.Busy += us.TotalWork
 }
 
 // sample adds the time since the last change of pools to the counts. The lock
@@ -164,7 +164,7 @@
 	out := fl.counted
 	out.Refused = int(fl.refused.Load())
 	for _, wk := range fl.workers {
-		out.Busy += wk.Usage().Worked
+		out.Busy += wk.Usage().TotalWork
 	}
 	return out
 }
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -191,9 +191,9 @@
 // task tells what a run does, and notes when its job began.
 func (sg *stage) task(order weir.RunOrder) taskworker.Task {
 	sg.note(order.Task, sg.clock.Now())
-	out := taskworker.Task{Need: sg.needs[order.Task.Job][order.Task.Step].Reserved(), Lasts: true}
+	out := taskworker.Task{Resources: sg.needs[order.Task.Job][order.Task.Step].Reserved(), LongRunning: true}
 	if pd, ok := sg.lengths[order.Task.Job]; ok {
-		out.Length, out.Lasts = pd.lengths[order.Task.Step][order.Task.Index], false
+		out.Duration, out.LongRunning = pd.lengths[order.Task.Step][order.Task.Index], false
 	}
 	return out
 }
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -1,10 +1,11 @@
-// Package taskworker is a stand-in for a worker that runs tasks: it pretends
-// to work for as long as each task takes, keeps its lease, refuses what it must
-// and lists ends, checkpoints and progress.
+// Package taskworker simulates a worker that runs tasks. A simulated task does
+// no work and completes when its duration has passed. The worker enforces its
+// lease, rejects invalid orders, and reports progress, checkpoints and the end
+// of each run.
 //
 // Usage:
 //
-//	wk := &taskworker.Worker{ID: "t1", Born: now.UnixMilli(), Room: room, Clock: clk}
+//	wk := &taskworker.Worker{ID: "t1", Born: now.UnixMilli(), Capacity: capacity, Clock: clk}
 //	http.ListenAndServe(addr, taskapi.Routes(wk))
 package taskworker
 
@@ -23,126 +24,133 @@
 )
 
 const (
-	// defaultLength is how long a task takes whose text names no length.
-	defaultLength = 300 * time.Millisecond
-	// maxWait bounds how long a renewal waits for an end.
+	// defaultDuration applies to a task whose text specifies no duration.
+	defaultDuration = 300 * time.Millisecond
+	// maxWait limits how long Renew waits for a run to end.
 	maxWait = 2 * time.Second
-	// startup is how long a lasting task takes until it is at work.
-	startup = 700 * time.Millisecond
-	// full is the percent of a task that is done, or at work.
-	full = 100
+	// longRunningStartup is how long a long-running task takes to become ready.
+	longRunningStartup = 700 * time.Millisecond
+	// fullPercent is the progress of a task that is done, or of a long-running
+	// task that is ready.
+	fullPercent = 100
 )
 
-// Task is what a run does.
+// Task describes the simulated work of a run.
 type Task struct {
-	Length time.Duration
-	// Lasts marks a task that does not end by itself.
-	Lasts bool
-	Need  spec.Resources
+	Duration time.Duration
+	// LongRunning marks a task that runs until it is stopped.
+	LongRunning bool
+	Resources   spec.Resources
 }
 
-// running is one run.
+// running is the state of a run in progress.
 type running struct {
 	Task
 
-	began time.Time
-	from  time.Duration // work done before, from the checkpoint
+	startedAt   time.Time
+	resumedFrom time.Duration // work done by earlier runs, from the checkpoint
 }
 
-// worked is the work that a run has done.
-func (rn *running) worked(now time.Time) time.Duration {
-	worked := rn.from + now.Sub(rn.began)
-	if rn.Lasts {
+// workDone returns the working time completed so far, including that of the
+// checkpoint the run resumed from.
+func (rn *running) workDone(now time.Time) time.Duration {
+	worked := rn.resumedFrom + now.Sub(rn.startedAt)
+	if rn.LongRunning {
 		return worked
 	}
-	return min(worked, max(rn.Length, rn.from))
+	return min(worked, max(rn.Duration, rn.resumedFrom))
 }
 
+// percent returns the progress, or the startup progress of a long-running task.
 func (rn *running) percent(now time.Time) int {
-	if rn.Lasts {
-		return int(min(full, full*now.Sub(rn.began)/startup))
+	if rn.LongRunning {
+		return int(min(fullPercent, fullPercent*now.Sub(rn.startedAt)/longRunningStartup))
 	}
-	return int(full * rn.worked(now) / max(rn.Length, 1))
+	return int(fullPercent * rn.workDone(now) / max(rn.Duration, 1))
 }
 
-// coreSeconds is the work of this run alone.
+// coreSeconds returns the core-seconds used by this run, without earlier runs.
 func (rn *running) coreSeconds(now time.Time) float64 {
-	return (rn.worked(now) - rn.from).Seconds() * cores(rn.Need)
+	return (rn.workDone(now) - rn.resumedFrom).Seconds() * cores(rn.Resources)
 }
 
 func cores(nd spec.Resources) float64 { return float64(nd.MilliCPU) / 1000 }
 
-// Usage is what a worker does and has done.
+// Usage is the present load and the total work of a worker.
 type Usage struct {
-	// Runs is how many tasks run, on Cores cores.
+	// Runs is the number of tasks in progress, Cores the cores reserved for them.
 	Runs  int
 	Cores float64
-	// Worked is all the work done here, Running that of the present runs, in
-	// core-seconds.
-	Worked, Running float64
+	// TotalWork is the work of all runs, RunningWork that of the runs in
+	// progress, both in core-seconds.
+	TotalWork, RunningWork float64
 }
 
-// Worker is one life of a worker. Set the exported fields before use.
+// Worker simulates one incarnation of a worker. Set the exported fields before
+// use.
 type Worker struct {
 	ID    weir.InstanceID
 	Born  int64
 	Clock weir.Clock
-	// Task tells what a run does when it begins; nil reads its length from the
-	// order's text. It must not block.
+	// Task returns the simulated work of a run at its start; nil takes the
+	// duration from the order's text. It must not block.
 	Task func(order weir.RunOrder) Task
-	// Room bounds what runs at a time; the zero value bounds nothing.
-	Room spec.Resources
-
-	mu     sync.Mutex
-	origin time.Time
-	token  uint64
-	until  time.Time
-	runs   map[weir.RunKey]*running
-	// last is the highest run of each task that was stopped or has ended.
-	last   map[weir.TaskRef]int
-	ends   []weir.RunEnd
-	number int64
-	ended  chan struct{}
-	done   map[weir.TaskRef]int
-	// worked is the work of runs that are over, in core-seconds.
-	worked float64
-	killed bool
+	// Capacity limits the resources in use at a time; the zero value sets no limit.
+	Capacity spec.Resources
+
+	mu           sync.Mutex
+	clockOrigin  time.Time
+	token        uint64 // highest fencing token seen
+	leaseExpires time.Time
+	runs         map[weir.RunKey]*running
+	// lastRun is the highest run number of each task that was stopped or ended.
+	lastRun    map[weir.TaskRef]int
+	ends       []weir.RunEnd
+	lastEnd    int64 // number of the newest end
+	endSignal  chan struct{}
+	doneCounts map[weir.TaskRef]int
+	// finishedWork is the work of ended runs, in core-seconds.
+	finishedWork float64
+	killed       bool
 }
 
-// lock prepares the worker at its first use and lets time pass.
-func (wk *Worker) lock() time.Time {
+// lockAndUpdate takes the lock, initializes the worker on first use, and ends
+// runs that have completed or whose lease has expired. It returns the time.
+func (wk *Worker) lockAndUpdate() time.Time {
 	wk.mu.Lock()
 	now := wk.Clock.Now()
 	if wk.runs == nil {
-		wk.origin = now
-		wk.runs, wk.last = map[weir.RunKey]*running{}, map[weir.TaskRef]int{}
-		wk.done, wk.ended = map[weir.TaskRef]int{}, make(chan struct{})
+		wk.clockOrigin = now
+		wk.runs, wk.lastRun = map[weir.RunKey]*running{}, map[weir.TaskRef]int{}
+		wk.doneCounts, wk.endSignal = map[weir.TaskRef]int{}, make(chan struct{})
 	}
 	for key, rn := range wk.runs {
 		switch {
-		case !rn.Lasts && rn.from+now.Sub(rn.began) >= rn.Length && !now.After(wk.until):
-			wk.end(now, key, store.EndDone, "")
-			wk.done[key.Task]++
-		case now.After(wk.until):
-			wk.end(now, key, store.EndLeaseExpired, "")
+		case !rn.LongRunning && rn.resumedFrom+now.Sub(rn.startedAt) >= rn.Duration && !now.After(wk.leaseExpires):
+			wk.endRun(now, key, store.EndDone, "")
+			wk.doneCounts[key.Task]++
+		case now.After(wk.leaseExpires):
+			wk.endRun(now, key, store.EndLeaseExpired, "")
 		}
 	}
 	return now
 }
 
-func (wk *Worker) end(now time.Time, key weir.RunKey, how store.EndReason, checkpoint string) {
-	wk.worked += wk.runs[key].coreSeconds(now)
+// endRun ends a run and wakes waiting calls of Renew.
+func (wk *Worker) endRun(now time.Time, key weir.RunKey, reason store.EndReason, checkpoint string) {
+	wk.finishedWork += wk.runs[key].coreSeconds(now)
 	delete(wk.runs, key)
-	wk.last[key.Task] = max(wk.last[key.Task], key.Run)
-	wk.number++
-	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.number, How: string(how), Checkpoint: checkpoint})
-	close(wk.ended)
-	wk.ended = make(chan struct{})
+	wk.lastRun[key.Task] = max(wk.lastRun[key.Task], key.Run)
+	wk.lastEnd++
+	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.lastEnd, How: string(reason), Checkpoint: checkpoint})
+	close(wk.endSignal)
+	wk.endSignal = make(chan struct{})
 }
 
-// admit checks whom an order is for and from; it runs with the lock held.
-func (wk *Worker) admit(life weir.WorkerIncarnation, token uint64) weir.Refusal {
-	if life.ID != wk.ID || life.Born != wk.Born {
+// authorize rejects orders for another incarnation and orders with an outdated
+// fencing token. The lock must be held.
+func (wk *Worker) authorize(inc weir.WorkerIncarnation, token uint64) weir.Refusal {
+	if inc.ID != wk.ID || inc.Born != wk.Born {
 		return weir.RefusedIncarnation
 	}
 	if token < wk.token {
@@ -152,92 +160,93 @@
 	return weir.RefusedNone
 }
 
-func (wk *Worker) extend(until time.Duration) {
-	if at := wk.origin.Add(until); at.After(wk.until) {
-		wk.until = at
+func (wk *Worker) extendLease(until time.Duration) {
+	if at := wk.clockOrigin.Add(until); at.After(wk.leaseExpires) {
+		wk.leaseExpires = at
 	}
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, life weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
-	now := wk.lock()
+func (wk *Worker) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
-	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
-	if ans.Refusal = wk.admit(life, order.Token); ans.Refusal != weir.RefusedNone {
+	ans := weir.OrderResponse{Clock: now.Sub(wk.clockOrigin)}
+	if ans.Refusal = wk.authorize(inc, order.Token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
-	wk.extend(order.Until)
+	wk.extendLease(order.Until)
 	switch {
 	case wk.runs[order.RunKey] != nil:
-	case order.Run <= wk.last[order.Task]:
+	case order.Run <= wk.lastRun[order.Task]:
 		ans.Refusal = weir.RefusedStale
-	case now.After(wk.origin.Add(order.Until)):
+	case now.After(wk.clockOrigin.Add(order.Until)):
 		ans.Refusal = weir.RefusedLeaseExpired
 	default:
-		ans.Refusal = wk.begin(now, order)
+		ans.Refusal = wk.startRun(now, order)
 	}
 	return ans, nil
 }
 
-func (wk *Worker) begin(now time.Time, order weir.RunOrder) weir.Refusal {
-	rn := &running{began: now, from: resume(order.Checkpoint), Task: Task{Length: length(order.Text)}}
+func (wk *Worker) startRun(now time.Time, order weir.RunOrder) weir.Refusal {
+	rn := &running{startedAt: now, resumedFrom: parseCheckpoint(order.Checkpoint), Task: Task{Duration: parseDuration(order.Text)}}
 	if wk.Task != nil {
 		rn.Task = wk.Task(order)
 	}
-	if wk.Room != (spec.Resources{}) && !rn.Need.Fits(wk.Room.Minus(wk.used())) {
+	if wk.Capacity != (spec.Resources{}) && !rn.Resources.Fits(wk.Capacity.Minus(wk.usedResources())) {
 		return weir.RefusedCapacity
 	}
 	wk.runs[order.RunKey] = rn
 	return weir.RefusedNone
 }
 
-// used is the room that runs take.
-func (wk *Worker) used() spec.Resources {
+// usedResources returns the sum of resources of all runs in progress.
+func (wk *Worker) usedResources() spec.Resources {
 	var sum spec.Resources
 	for _, rn := range wk.runs {
-		sum = sum.Plus(rn.Need)
+		sum = sum.Plus(rn.Resources)
 	}
 	return sum
 }
 
-// Usage returns what the worker does and has done.
+// Usage returns the present load and the total work.
 func (wk *Worker) Usage() Usage {
-	now := wk.lock()
+	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
-	us := Usage{Runs: len(wk.runs), Cores: cores(wk.used())}
+	us := Usage{Runs: len(wk.runs), Cores: cores(wk.usedResources())}
 	for _, rn := range wk.runs {
-		us.Running += rn.coreSeconds(now)
+		us.RunningWork += rn.coreSeconds(now)
 	}
-	us.Worked = wk.worked + us.Running
+	us.TotalWork = wk.finishedWork + us.RunningWork
 	return us
 }
 
-// Kill ends the worker without a word: what runs is over, and renewals that
-// wait return.
+// Kill simulates a crash: it ends all runs without reporting them and unblocks
+// waiting calls of Renew.
 func (wk *Worker) Kill() {
-	now := wk.lock()
+	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
 	for key, rn := range wk.runs {
-		wk.worked += rn.coreSeconds(now)
+		wk.finishedWork += rn.coreSeconds(now)
 		delete(wk.runs, key)
 	}
 	wk.killed = true
-	close(wk.ended)
-	wk.ended = make(chan struct{})
+	close(wk.endSignal)
+	wk.endSignal = make(chan struct{})
 }
 
-// length reads how long a task takes from a text such as "800ms and more".
-func length(text string) time.Duration {
+// parseDuration returns the duration that starts a text such as "800ms and more".
+func parseDuration(text string) time.Duration {
 	if word := strings.Fields(text); len(word) > 0 {
 		if span, err := time.ParseDuration(word[0]); err == nil {
 			return span
 		}
 	}
-	return defaultLength
+	return defaultDuration
 }
 
-func resume(checkpoint string) time.Duration {
-	// A checkpoint that is not ours means that the work starts anew.
+// parseCheckpoint returns the working time that a checkpoint records.
+func parseCheckpoint(checkpoint string) time.Duration {
+	// A checkpoint in another format restarts the work from zero.
 	nanos, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil {
 		return 0
@@ -246,37 +255,37 @@
 }
 
 // Stop implements weir.TaskWorkers.
-func (wk *Worker) Stop(_ context.Context, life weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
-	now := wk.lock()
+func (wk *Worker) Stop(_ context.Context, inc weir.WorkerIncarnation, key weir.RunKey, token uint64) (weir.OrderResponse, error) {
+	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
-	ans := weir.OrderResponse{Clock: now.Sub(wk.origin)}
-	if ans.Refusal = wk.admit(life, token); ans.Refusal != weir.RefusedNone {
+	ans := weir.OrderResponse{Clock: now.Sub(wk.clockOrigin)}
+	if ans.Refusal = wk.authorize(inc, token); ans.Refusal != weir.RefusedNone {
 		return ans, nil
 	}
 	if rn := wk.runs[key]; rn != nil {
-		wk.end(now, key, store.EndStopped, strconv.FormatInt(int64(rn.worked(now)), 10))
+		wk.endRun(now, key, store.EndStopped, strconv.FormatInt(int64(rn.workDone(now)), 10))
 	}
-	wk.last[key.Task] = max(wk.last[key.Task], key.Run)
+	wk.lastRun[key.Task] = max(wk.lastRun[key.Task], key.Run)
 	return ans, nil
 }
 
-// Throttle implements weir.TaskWorkers; the stand-in's tasks disturb nobody.
-func (wk *Worker) Throttle(_ context.Context, life weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
-	now := wk.lock()
+// Throttle implements weir.TaskWorkers; it does not slow simulated tasks down.
+func (wk *Worker) Throttle(_ context.Context, inc weir.WorkerIncarnation, _ weir.RunKey, _ int, token uint64) (weir.OrderResponse, error) {
+	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
-	return weir.OrderResponse{Clock: now.Sub(wk.origin), Refusal: wk.admit(life, token)}, nil
+	return weir.OrderResponse{Clock: now.Sub(wk.clockOrigin), Refusal: wk.authorize(inc, token)}, nil
 }
 
 // Renew implements weir.TaskWorkers.
-func (wk *Worker) Renew(ctx context.Context, life weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
-	begin := wk.lock()
-	if wk.admit(life, order.Token) == weir.RefusedNone {
-		wk.extend(order.Until)
+func (wk *Worker) Renew(ctx context.Context, inc weir.WorkerIncarnation, order weir.RenewOrder) (weir.WorkerReport, error) {
+	begin := wk.lockAndUpdate()
+	if wk.authorize(inc, order.Token) == weir.RefusedNone {
+		wk.extendLease(order.Until)
 		wk.acknowledge(order.Acknowledged)
 	}
-	patience := begin.Add(min(order.Wait, maxWait))
-	for len(wk.ends) == 0 && !wk.killed && wk.Clock.Now().Before(patience) && ctx.Err() == nil {
-		ended, next := wk.ended, wk.nextEnd(patience)
+	deadline := begin.Add(min(order.Wait, maxWait))
+	for len(wk.ends) == 0 && !wk.killed && wk.Clock.Now().Before(deadline) && ctx.Err() == nil {
+		ended, next := wk.endSignal, wk.untilNextEnd(deadline)
 		wk.mu.Unlock()
 		timer := time.NewTimer(next)
 		select {
@@ -285,19 +294,20 @@
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		wk.lock()
+		wk.lockAndUpdate()
 	}
 	defer wk.mu.Unlock()
 	return wk.report(), nil
 }
 
-// nextEnd is how long to wait until something may have ended.
-func (wk *Worker) nextEnd(patience time.Time) time.Duration {
+// untilNextEnd returns how long to wait until the next run may end, or until
+// the deadline.
+func (wk *Worker) untilNextEnd(deadline time.Time) time.Duration {
 	now := wk.Clock.Now()
-	next := patience.Sub(now)
+	next := deadline.Sub(now)
 	for _, rn := range wk.runs {
-		if !rn.Lasts {
-			next = min(next, rn.Length-rn.from-now.Sub(rn.began))
+		if !rn.LongRunning {
+			next = min(next, rn.Duration-rn.resumedFrom-now.Sub(rn.startedAt))
 		}
 	}
 	return max(next, time.Millisecond)
@@ -309,10 +319,10 @@
 
 func (wk *Worker) report() weir.WorkerReport {
 	now := wk.Clock.Now()
-	rep := weir.WorkerReport{Clock: now.Sub(wk.origin), Born: wk.Born, Ends: slices.Clone(wk.ends)}
+	rep := weir.WorkerReport{Clock: now.Sub(wk.clockOrigin), Born: wk.Born, Ends: slices.Clone(wk.ends)}
 	for key, rn := range wk.runs {
 		rep.Running = append(rep.Running, weir.RunningTask{
-			RunKey: key, Percent: rn.percent(now), Checkpoint: strconv.FormatInt(int64(rn.worked(now).Truncate(time.Second)), 10),
+			RunKey: key, Percent: rn.percent(now), Checkpoint: strconv.FormatInt(int64(rn.workDone(now).Truncate(time.Second)), 10),
 		})
 	}
 	return rep
@@ -321,12 +331,12 @@
 // Forget implements weir.TaskWorkers.
 func (wk *Worker) Forget(string) {}
 
-// Done returns how often each task was done here.
+// Done returns how many runs of each task have completed.
 func (wk *Worker) Done() map[weir.TaskRef]int {
-	wk.lock()
+	wk.lockAndUpdate()
 	defer wk.mu.Unlock()
-	out := make(map[weir.TaskRef]int, len(wk.done))
-	for task, count := range wk.done {
+	out := make(map[weir.TaskRef]int, len(wk.doneCounts))
+	for task, count := range wk.doneCounts {
 		out[task] = count
 	}
 	return out
