--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -216,7 +216,7 @@
 		Reason: resp.Header.Get(caller.HeaderReason),
 	}
 	if res.Outcome == weir.Complete && resp.StatusCode == http.StatusOK {
-		var ech worker.Echo
+		var ech worker.EchoResponse
 		err := json.Unmarshal(body, &ech)
 		res.Wrong = err != nil || ech.Body != rq.body || ech.Key != key
 	}
--- a/internal/standin/worker/announce.go
+++ b/internal/standin/worker/announce.go
@@ -12,9 +12,10 @@
 	"greengageweir/internal/fleet/command"
 )
 
-const defaultEvery = time.Second
+const defaultAnnounceInterval = time.Second
 
-// announceLoop announces the worker once a second and whenever it is nudged.
+// announceLoop announces the worker at the interval that the entry instance
+// sets, and at once after wakeAnnouncer.
 func (wk *Worker) announceLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := wk.announceOnce(ctx)
@@ -26,52 +27,54 @@
 	}
 }
 
-// announceOnce sends one announcement and returns when to send the next. A
-// worker that is refused or gets no answer leases itself to the next entry
-// instance.
+// announceOnce sends one announcement and returns the time to wait until the
+// next. If it fails or is rejected, the worker switches to the next entry
+// instance under a new epoch.
 func (wk *Worker) announceOnce(ctx context.Context) time.Duration {
 	ann, entry, ok := wk.announcement()
 	if !ok {
-		return pollEvery
+		return pollInterval
 	}
 	sentAt := wk.Clock.Now()
 	ans, err := wk.post(ctx, entry, ann)
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	if wk.lease != ann.Lease {
-		return pollEvery
+		return pollInterval
 	}
 	if err != nil || !ans.Granted {
 		wk.granted = false
-		wk.entry++
+		wk.entryIndex++
 		wk.lease.Epoch++
 		return retryPause
 	}
 	wk.granted = true
-	wk.expires = sentAt.Add(time.Duration(ans.LeaseMillis) * time.Millisecond)
+	wk.leaseExpires = sentAt.Add(time.Duration(ans.LeaseMillis) * time.Millisecond)
 	wk.seenView = max(wk.seenView, ans.View)
 	if ans.Slots > 0 {
 		wk.slots = ans.Slots
 	}
-	wk.usageEvery = time.Duration(ans.UsageMillis) * time.Millisecond
-	wk.settle(ann.Lease.Incarnation, ans.AckedUsage)
+	wk.usageInterval = time.Duration(ans.UsageMillis) * time.Millisecond
+	wk.acknowledgeUsage(ann.Lease.Incarnation, ans.AckedUsage)
 	if wk.seenView > ann.SeenView {
-		// Tell at once that a newer view was seen; a drain may wait for it.
-		return pollEvery
+		// Report a newer view at once: a drain may be waiting for it.
+		return pollInterval
 	}
 	if ans.AnnounceMillis > 0 {
 		return time.Duration(ans.AnnounceMillis) * time.Millisecond
 	}
-	return defaultEvery
+	return defaultAnnounceInterval
 }
 
+// announcement returns the next announcement and the entry instance to send it
+// to, or false while the worker is down.
 func (wk *Worker) announcement() (endpoint.Announcement, string, bool) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	if wk.down {
 		return endpoint.Announcement{}, "", false
 	}
-	wk.cutReport()
+	wk.flushUsage()
 	ann := endpoint.Announcement{
 		Instance: wk.ID, Lease: wk.lease, Address: wk.addr, Zone: wk.Zone, Rack: wk.Rack,
 		State: endpoint.Serving, SeenView: wk.seenView, InFlight: wk.inFlight,
@@ -80,18 +83,19 @@
 	if wk.leaving {
 		ann.State = endpoint.Leaving
 	}
-	return ann, wk.Entries[wk.entry%len(wk.Entries)], true
+	return ann, wk.Entries[wk.entryIndex%len(wk.Entries)], true
 }
 
-// cutReport turns what was counted into the next numbered report.
-func (wk *Worker) cutReport() {
+// flushUsage moves the usage counted so far into the next numbered report, at
+// most once per usage interval unless the worker is draining or rebooting.
+func (wk *Worker) flushUsage() {
 	now := wk.Clock.Now()
 	if len(wk.totals) == 0 || (now.Before(wk.nextReport) && !wk.leaving && !wk.flushing) {
 		return
 	}
-	wk.nextReport = now.Add(wk.usageEvery)
-	wk.sequence++
-	rep := command.UsageReport{Instance: wk.ID, Incarnation: wk.lease.Incarnation, Sequence: wk.sequence}
+	wk.nextReport = now.Add(wk.usageInterval)
+	wk.usageSequence++
+	rep := command.UsageReport{Instance: wk.ID, Incarnation: wk.lease.Incarnation, Sequence: wk.usageSequence}
 	for _, sum := range wk.totals {
 		rep.Totals = append(rep.Totals, *sum)
 	}
@@ -99,7 +103,9 @@
 	wk.reports = append(wk.reports, rep)
 }
 
-func (wk *Worker) settle(incarnation, sequence uint64) {
+// acknowledgeUsage drops the reports that the control instances have stored: those
+// of an incarnation up to a sequence number.
+func (wk *Worker) acknowledgeUsage(incarnation, sequence uint64) {
 	kept := wk.reports[:0]
 	for _, rep := range wk.reports {
 		if rep.Incarnation != incarnation || rep.Sequence > sequence {
--- a/internal/standin/worker/host.go
+++ b/internal/standin/worker/host.go
@@ -16,33 +16,33 @@
 	weir "greengageweir"
 )
 
-// Host runs the workers of one zone in one process and stands in for the
-// zone's platform. Set the exported fields before Run.
+// Host runs the workers of one zone in one process and simulates the zone's
+// platform. Set the exported fields before Run.
 type Host struct {
 	PlatformAddr string
 	Workers      []*Worker
 	RebootTime   time.Duration
 	Logger       log.Logger
 
-	listener net.Listener
-	cancels  map[weir.InstanceID]context.CancelFunc
+	listener     net.Listener
+	cancelWorker map[weir.InstanceID]context.CancelFunc
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (ho *Host) String() string { return "worker host" }
 
-// Default opens the platform's listener.
+// Default opens the listener of the platform API.
 func (ho *Host) Default() error {
 	lis, err := net.Listen("tcp", ho.PlatformAddr)
 	if err != nil {
 		return &Error{Op: "worker host", Kind: KindListen, Err: err}
 	}
 	ho.listener = lis
-	ho.cancels = map[weir.InstanceID]context.CancelFunc{}
+	ho.cancelWorker = map[weir.InstanceID]context.CancelFunc{}
 	return nil
 }
 
-// Run serves until the context ends, then lets all workers leave.
+// Run serves until the context is cancelled, then drains all workers.
 func (ho *Host) Run(ctx context.Context) error {
 	done := make(chan struct{}, len(ho.Workers))
 	for _, wk := range ho.Workers {
@@ -50,10 +50,10 @@
 			return err
 		}
 		wkCtx, cancel := context.WithCancel(ctx)
-		ho.cancels[wk.ID] = cancel
+		ho.cancelWorker[wk.ID] = cancel
 		go func() {
 			if err := wk.Run(wkCtx); err != nil {
-				_ = ho.Logger.Log("level", "error", "msg", "worker ended", "instance", string(wk.ID), "err", err.Error())
+				_ = ho.Logger.Log("level", "error", "msg", "worker failed", "instance", string(wk.ID), "err", err.Error())
 			}
 			done <- struct{}{}
 		}()
@@ -65,15 +65,15 @@
 	return err
 }
 
-// platformServer is the platform's HTTP interface.
+// platformServer serves the platform's HTTP API.
 type platformServer struct{ ho *Host }
 
-// serve works until the context ends.
+// serve blocks until the context is cancelled.
 func (ps *platformServer) serve(ctx context.Context) error {
 	ech := ops.NewEcho()
 	ech.POST("/v1/instances/:instance/reboot", ps.reboot)
 	ech.POST("/v1/instances/:instance/leave", ps.leave)
-	ech.POST("/v1/instances/:instance/failing/:on", ps.failing)
+	ech.POST("/v1/instances/:instance/failing/:on", ps.setFailing)
 	return ops.Serve(ctx, ops.NewHTTPServer(ech), ps.ho.listener, time.Second)
 }
 
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	ps.ho.cancels[wk.ID]()
+	ps.ho.cancelWorker[wk.ID]()
 	return ctx.NoContent(http.StatusAccepted)
 }
 
-func (ps *platformServer) failing(ctx echo.Context) error {
+func (ps *platformServer) setFailing(ctx echo.Context) error {
 	wk, err := ps.worker(ctx)
 	if err != nil {
 		return err
--- a/internal/standin/worker/journal.go
+++ b/internal/standin/worker/journal.go
@@ -8,7 +8,7 @@
 	weir "greengageweir"
 )
 
-// Run is one line of the journal: a request that really ran.
+// Run is one line of the journal: a request that a worker executed.
 type Run struct {
 	Key        string           `json:"key,omitempty"`
 	Task       string           `json:"task"`
@@ -17,17 +17,19 @@
 	Instance   weir.InstanceID  `json:"instance"`
 	BusyMillis uint64           `json:"busyMillis"`
 	Failed     bool             `json:"failed,omitempty"`
-	// Cut marks a run that a stop of the worker interrupted.
+	// Cut marks a reboot that interrupted requests in flight; Task then holds
+	// the reboot operation.
 	Cut bool `json:"cut,omitempty"`
 }
 
-// Journal is the stand-in's own record of what ran.
+// Journal records the executed requests, one JSON line each. It is the
+// reference against which responses and reported usage are verified.
 type Journal struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// OpenJournal opens a journal for appending.
+// OpenJournal opens the file for appending, and creates it if missing.
 func OpenJournal(path string) (*Journal, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640) //nolint:gosec // path from a flag
 	if err != nil {
@@ -36,7 +38,7 @@
 	return &Journal{file: file}, nil
 }
 
-// Add writes a line.
+// Add appends a line.
 func (jo *Journal) Add(rn Run) error {
 	line, err := json.Marshal(rn)
 	if err != nil {
--- a/internal/standin/worker/serve.go
+++ b/internal/standin/worker/serve.go
@@ -19,18 +19,20 @@
 	maxBody     = 2 << 20
 )
 
-// Echo is the body of a worker's answer.
-type Echo struct {
+// EchoResponse is the body of a worker's response.
+type EchoResponse struct {
 	Key      string          `json:"key"`
 	Task     string          `json:"task"`
 	Instance weir.InstanceID `json:"instance"`
-	// Body is what the caller sent, so that it can tell its answer from others.
+	// Body is the request body, so that the caller can detect a response that
+	// belongs to another request.
 	Body string `json:"body"`
 }
 
-// serve runs one request: it works for the time named in the query ("ms").
+// serve handles one request: it sleeps for the milliseconds in the query
+// parameter "ms" and echoes the body.
 func (wk *Worker) serve(rw http.ResponseWriter, req *http.Request) {
-	reason := wk.begin(req)
+	reason := wk.acquireSlot(req)
 	if reason != "" {
 		rw.Header().Set(endpoint.HeaderRefused, reason)
 		http.Error(rw, reason, http.StatusServiceUnavailable)
@@ -38,7 +40,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
 	if err != nil {
-		wk.end()
+		wk.releaseSlot()
 		return
 	}
 	work := workTime(req)
@@ -50,18 +52,18 @@
 		BusyMillis: uint64(work.Milliseconds()), Failed: failed,
 	}
 	if err := wk.Journal.Add(rn); err != nil {
-		wk.end()
+		wk.releaseSlot()
 		return
 	}
 	time.Sleep(work)
-	wk.count(rn)
-	wk.end()
+	wk.recordUsage(rn)
+	wk.releaseSlot()
 	if failed {
 		http.Error(rw, "out of order", http.StatusInternalServerError)
 		return
 	}
 	rw.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(rw).Encode(Echo{Key: rn.Key, Task: rn.Task, Instance: wk.ID, Body: string(body)})
+	_ = json.NewEncoder(rw).Encode(EchoResponse{Key: rn.Key, Task: rn.Task, Instance: wk.ID, Body: string(body)})
 }
 
 func workTime(req *http.Request) time.Duration {
@@ -72,15 +74,15 @@
 	return min(time.Duration(millis)*time.Millisecond, maxWork)
 }
 
-// begin takes a slot, or tells why the request is refused.
-func (wk *Worker) begin(req *http.Request) string {
+// acquireSlot takes a slot, or returns why the request is refused.
+func (wk *Worker) acquireSlot(req *http.Request) string {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	lease, ok := endpoint.ParseLease(req.Header.Get(endpoint.HeaderLease))
 	switch {
 	case wk.leaving || wk.down:
 		return endpoint.RefusedLeaving
-	case !ok || lease != wk.lease || !wk.granted || wk.Clock.Now().After(wk.expires):
+	case !ok || lease != wk.lease || !wk.granted || wk.Clock.Now().After(wk.leaseExpires):
 		return endpoint.RefusedLease
 	case wk.inFlight >= wk.slots:
 		return endpoint.RefusedSlots
@@ -89,12 +91,13 @@
 	return ""
 }
 
-func (wk *Worker) end() {
+// releaseSlot frees a slot and announces at once when the worker becomes idle.
+func (wk *Worker) releaseSlot() {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	wk.inFlight--
 	if wk.inFlight == 0 {
-		wk.nudge()
+		wk.wakeAnnouncer()
 	}
 }
 
@@ -104,8 +107,8 @@
 	return wk.failing
 }
 
-// count adds a run to the usage of the next report.
-func (wk *Worker) count(rn Run) {
+// recordUsage adds a run to the next usage report.
+func (wk *Worker) recordUsage(rn Run) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	key := usageKey{rn.Service, rn.Team}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is a small stand-in for endpoints and the platform that owns
-// them: workers that announce themselves, run requests on slots, keep a
-// journal of what really ran, report usage, and can be drained and rebooted.
+// Package worker simulates endpoints and the platform that owns them. Workers
+// announce themselves, handle requests on a limited number of slots, record each
+// executed request in a journal, report usage, and can be drained and rebooted.
 //
 // Usage:
 //
@@ -23,10 +23,10 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors.
+// The error kinds.
 const (
 	KindJournal Kind = "journal failed"
 	KindListen  Kind = "cannot listen"
@@ -37,14 +37,14 @@
 
 const (
 	defaultSlots    = 8
-	settlePatience  = 6 * time.Second
-	drainPatience   = 30 * time.Second
-	pollEvery       = 20 * time.Millisecond
+	usageTimeout    = 6 * time.Second
+	drainTimeout    = 30 * time.Second
+	pollInterval    = 20 * time.Millisecond
 	announceTimeout = 800 * time.Millisecond
 	retryPause      = 100 * time.Millisecond
 )
 
-// Worker is one instance. Set the exported fields before Run.
+// Worker simulates one instance. Set the exported fields before Run.
 type Worker struct {
 	ID      weir.InstanceID
 	Zone    weir.Zone
@@ -55,28 +55,28 @@
 	// Addr is the address to listen on; empty picks a free port.
 	Addr string
 
-	mu       sync.Mutex
-	addr     string
-	lease    endpoint.Lease
-	granted  bool
-	expires  time.Time
-	entry    int
-	slots    int
-	seenView uint64
-	leaving  bool
-	down     bool
-	failing  bool
-	inFlight int
-	totals   map[usageKey]*command.UsageTotal
-	sequence uint64
-	// nextReport is when the next usage report may be made.
-	nextReport time.Time
-	usageEvery time.Duration
-	flushing   bool
-	reports    []command.UsageReport
-	done       map[string]bool
-	wake       chan struct{}
-	client     *http.Client
+	mu            sync.Mutex
+	addr          string
+	lease         endpoint.Lease
+	granted       bool
+	leaseExpires  time.Time
+	entryIndex    int
+	slots         int
+	seenView      uint64
+	leaving       bool
+	down          bool
+	failing       bool
+	inFlight      int
+	totals        map[usageKey]*command.UsageTotal
+	usageSequence uint64
+	// nextReport is the earliest time of the next usage report.
+	nextReport     time.Time
+	usageInterval  time.Duration
+	flushing       bool
+	reports        []command.UsageReport
+	doneOperations map[string]bool
+	wake           chan struct{}
+	client         *http.Client
 }
 
 type usageKey struct {
@@ -84,14 +84,14 @@
 	team    weir.TeamName
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (wk *Worker) String() string { return "worker " + string(wk.ID) }
 
-// Default fills the settings.
+// Default initializes the worker and fills in missing settings.
 func (wk *Worker) Default() error {
 	wk.slots = defaultSlots
 	wk.totals = map[usageKey]*command.UsageTotal{}
-	wk.done = map[string]bool{}
+	wk.doneOperations = map[string]bool{}
 	wk.wake = make(chan struct{}, 1)
 	wk.lease.Incarnation = uint64(wk.Clock.Now().UnixMilli())
 	wk.client = &http.Client{Timeout: announceTimeout}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Run serves and announces until the context ends, then leaves gracefully.
+// Run serves and announces until the context is cancelled, then drains.
 func (wk *Worker) Run(ctx context.Context) error {
 	lis, err := net.Listen("tcp", wk.Addr)
 	if err != nil {
@@ -120,27 +120,27 @@
 		wk.announceLoop(loopCtx)
 	}()
 	<-ctx.Done()
-	wk.leave()
+	wk.drain()
 	cancel()
 	<-loopDone
 	return nil
 }
 
-// leave says so, lets requests in flight finish, and waits until the usage is
-// settled.
-func (wk *Worker) leave() {
+// drain announces that the worker is leaving, waits for requests in flight, and
+// then for the acknowledgement of all usage reports.
+func (wk *Worker) drain() {
 	wk.mu.Lock()
 	wk.leaving = true
 	wk.mu.Unlock()
-	wk.nudge()
-	wk.await(drainPatience, func() bool { return wk.inFlight == 0 })
-	wk.nudge()
-	wk.await(settlePatience, func() bool { return len(wk.reports) == 0 && len(wk.totals) == 0 })
+	wk.wakeAnnouncer()
+	wk.waitUntil(drainTimeout, func() bool { return wk.inFlight == 0 })
+	wk.wakeAnnouncer()
+	wk.waitUntil(usageTimeout, func() bool { return len(wk.reports) == 0 && len(wk.totals) == 0 })
 }
 
-// await polls a condition under the lock.
-func (wk *Worker) await(patience time.Duration, cond func() bool) {
-	end := wk.Clock.Now().Add(patience)
+// waitUntil polls cond under the lock until it is true or the timeout passes.
+func (wk *Worker) waitUntil(timeout time.Duration, cond func() bool) {
+	end := wk.Clock.Now().Add(timeout)
 	for wk.Clock.Now().Before(end) {
 		wk.mu.Lock()
 		ok := cond()
@@ -148,11 +148,12 @@
 		if ok {
 			return
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (wk *Worker) nudge() {
+// wakeAnnouncer makes announceLoop send the next announcement at once.
+func (wk *Worker) wakeAnnouncer() {
 	select {
 	case wk.wake <- struct{}{}:
 	default:
@@ -160,21 +161,21 @@
 }
 
 // Reboot takes the worker down for a time and brings it back as the next
-// incarnation. An operation that was done before does nothing.
+// incarnation. A repeated operation has no effect.
 func (wk *Worker) Reboot(operation string, downFor time.Duration) {
 	wk.mu.Lock()
-	if wk.done[operation] {
+	if wk.doneOperations[operation] {
 		wk.mu.Unlock()
 		return
 	}
-	wk.done[operation] = true
+	wk.doneOperations[operation] = true
 	if wk.inFlight > 0 {
 		_ = wk.Journal.Add(Run{Task: operation, Instance: wk.ID, Cut: true})
 	}
 	wk.flushing = true
 	wk.mu.Unlock()
-	wk.nudge()
-	wk.await(settlePatience, func() bool { return len(wk.reports) == 0 && len(wk.totals) == 0 })
+	wk.wakeAnnouncer()
+	wk.waitUntil(usageTimeout, func() bool { return len(wk.reports) == 0 && len(wk.totals) == 0 })
 	wk.mu.Lock()
 	wk.flushing = false
 	wk.down = true
@@ -184,12 +185,12 @@
 	wk.mu.Lock()
 	wk.down = false
 	wk.lease = endpoint.Lease{Incarnation: wk.lease.Incarnation + 1}
-	wk.sequence = 0
+	wk.usageSequence = 0
 	wk.mu.Unlock()
-	wk.nudge()
+	wk.wakeAnnouncer()
 }
 
-// SetFailing makes the worker fail everything, or stop doing so.
+// SetFailing sets whether the worker answers every request with an error.
 func (wk *Worker) SetFailing(failing bool) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
