--- a/cmd/weirstandin/load.go
+++ b/cmd/weirstandin/load.go
@@ -34,7 +34,7 @@
 	var ck settings.Checks
 	ck.Count("--rate", lc.Rate, 1, 20_000)
 	ck.Range("--duration", lc.Duration, time.Second, time.Hour)
-	ld := &load.Load{
+	ld := &load.Generator{
 		Rate: lc.Rate, Bookings: lc.Bookings, Twice: lc.Twice, WorkMS: lc.WorkMS, Duration: lc.Duration,
 		Seed: lc.Seed, Timeout: lc.Timeout, MaxTries: lc.Tries, Clock: clock.System{},
 	}
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,11 +1,11 @@
-// Package load is a small stand-in for callers: it sends a mix of bookings,
-// which run at most once under a key, and reads, and records what it was
-// told. A caller that gets no whole answer asks again with the same key, at
+// Package load simulates callers. It sends a mix of reads and of bookings, which
+// carry an idempotency key and run at most once, and records each outcome. A
+// request without a complete response is sent again under the same key, to
 // another entry instance.
 //
 // Usage:
 //
-//	ld := &load.Load{Targets: targets, Services: names, Rate: 200, Duration: 10 * time.Second, Seed: 1}
+//	ld := &load.Generator{Targets: targets, Services: names, Rate: 200, Duration: 10 * time.Second, Seed: 1}
 //	results := ld.Run(ctx)
 package load
 
@@ -27,38 +27,38 @@
 	weir "greengageweir"
 )
 
-// Target is an entry instance's callers' address.
+// Target is the caller-facing address of an entry instance.
 type Target struct {
 	Zone weir.Zone
 	Addr string
 }
 
-// Result is what one caller was told in the end.
+// Result is the final outcome of one request for its caller.
 type Result struct {
 	Key     string           `json:"key,omitempty"`
 	Service weir.ServiceName `json:"service"`
 	Booking bool             `json:"booking"`
 	Outcome weir.OutcomeKind `json:"outcome"`
-	// Tries counts the requests sent under the key.
+	// Tries is the number of attempts, resends included.
 	Tries int `json:"tries"`
-	// Wrong marks an answer that belongs to another request or is not whole.
+	// Wrong marks a response that belongs to another request or is malformed.
 	Wrong bool `json:"wrong,omitempty"`
-	// Status is that of a whole answer.
+	// Status is the HTTP status of the last response.
 	Status int `json:"status,omitempty"`
-	// Reason is why the last try was not whole.
+	// Reason is why the last attempt got no complete response.
 	Reason string        `json:"reason,omitempty"`
 	Took   time.Duration `json:"tookNanos"`
-	// FirstTook is the time of the first try.
+	// FirstTook is the duration of the first attempt.
 	FirstTook time.Duration `json:"firstTookNanos"`
 }
 
-// Load sends requests. Set the exported fields before Run.
-type Load struct {
+// Generator sends requests at a fixed rate. Set the exported fields before Run.
+type Generator struct {
 	Targets  []Target
 	Services []weir.ServiceName
 	Teams    []weir.TeamName
-	// Rate is the requests a second, Bookings the share of bookings in percent
-	// and Twice the share of bookings sent twice at the same time.
+	// Rate is the number of requests a second, Bookings the percentage of
+	// bookings, and Twice the percentage of bookings sent twice concurrently.
 	Rate     int
 	Bookings int
 	Twice    int
@@ -67,7 +67,7 @@
 	Seed     int64
 	Clock    weir.Clock
 	Timeout  time.Duration
-	// MaxTries bounds the requests under one key.
+	// MaxTries limits the attempts for one request.
 	MaxTries int
 
 	client *http.Client
@@ -82,8 +82,8 @@
 	maxIdleConns = 256
 )
 
-// Run sends the load and returns all results.
-func (ld *Load) Run(ctx context.Context) []Result {
+// Run sends requests for Duration and returns all results.
+func (ld *Generator) Run(ctx context.Context) []Result {
 	ld.client = &http.Client{
 		Timeout:   ld.Timeout + clientGrace,
 		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true},
@@ -95,7 +95,7 @@
 	end := ld.Clock.Now().Add(ld.Duration)
 	for ld.Clock.Now().Before(end) && ctx.Err() == nil {
 		<-ticker.C
-		rq := ld.plan(rng)
+		rq := ld.nextRequest(rng)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -106,8 +106,8 @@
 	return ld.results
 }
 
-// planned is one caller's request.
-type planned struct {
+// plannedRequest is a request with its randomly chosen parameters.
+type plannedRequest struct {
 	target  int
 	service weir.ServiceName
 	team    weir.TeamName
@@ -117,8 +117,9 @@
 	class   weir.Class
 }
 
-func (ld *Load) plan(rng *rand.Rand) planned {
-	rq := planned{
+// nextRequest draws the parameters of the next request.
+func (ld *Generator) nextRequest(rng *rand.Rand) plannedRequest {
+	rq := plannedRequest{
 		target: rng.Intn(len(ld.Targets)), service: ld.Services[rng.Intn(len(ld.Services))],
 		booking: rng.Intn(100) < ld.Bookings, twice: rng.Intn(100) < ld.Twice,
 		body: strconv.FormatInt(rng.Int63(), 36), class: weir.Urgent,
@@ -129,7 +130,9 @@
 	return rq
 }
 
-func (ld *Load) send(ctx context.Context, rq planned) {
+// send sends a request, or two concurrent ones under the same key, and records
+// the result.
+func (ld *Generator) send(ctx context.Context, rq plannedRequest) {
 	res := Result{Service: rq.service, Booking: rq.booking}
 	begin := ld.Clock.Now()
 	if rq.booking {
@@ -141,11 +144,11 @@
 	}
 	if rq.booking && rq.twice {
 		second := make(chan Result, 1)
-		go func() { second <- ld.askUntilWhole(ctx, rq, res, rq.target+1) }()
-		res = ld.askUntilWhole(ctx, rq, res, rq.target)
-		res = merge(res, <-second)
+		go func() { second <- ld.sendUntilComplete(ctx, rq, res, rq.target+1) }()
+		res = ld.sendUntilComplete(ctx, rq, res, rq.target)
+		res = mergeResults(res, <-second)
 	} else {
-		res = ld.askUntilWhole(ctx, rq, res, rq.target)
+		res = ld.sendUntilComplete(ctx, rq, res, rq.target)
 	}
 	res.Took = ld.Clock.Now().Sub(begin)
 	ld.mu.Lock()
@@ -153,8 +156,8 @@
 	ld.results = append(ld.results, res)
 }
 
-// merge joins the results of two callers that used the same key.
-func merge(a, b Result) Result {
+// mergeResults combines the results of two callers that used the same key.
+func mergeResults(a, b Result) Result {
 	a.Tries += b.Tries
 	a.Wrong = a.Wrong || b.Wrong
 	if b.Outcome == weir.Complete {
@@ -163,30 +166,31 @@
 	return a
 }
 
-// askUntilWhole asks until it has a whole answer or has tried often enough.
-func (ld *Load) askUntilWhole(ctx context.Context, rq planned, res Result, target int) Result {
+// sendUntilComplete sends until it gets a complete response or MaxTries is
+// reached. Each attempt goes to the next entry instance.
+func (ld *Generator) sendUntilComplete(ctx context.Context, rq plannedRequest, res Result, target int) Result {
 	begin := ld.Clock.Now()
-	told := weir.NotRun
+	outcome := weir.NotRun
 	for res.Tries < ld.MaxTries {
 		res.Tries++
-		one := ld.ask(ctx, rq, res.Key, ld.Targets[target%len(ld.Targets)].Addr)
+		attempt := ld.sendOnce(ctx, rq, res.Key, ld.Targets[target%len(ld.Targets)].Addr)
 		if res.Tries == 1 {
 			res.FirstTook = ld.Clock.Now().Sub(begin)
 		}
-		res.Wrong = res.Wrong || one.Wrong
-		told, res.Status, res.Reason = one.Outcome, one.Status, one.Reason
-		if told == weir.Complete {
+		res.Wrong = res.Wrong || attempt.Wrong
+		outcome, res.Status, res.Reason = attempt.Outcome, attempt.Status, attempt.Reason
+		if outcome == weir.Complete {
 			break
 		}
 		target++
 		time.Sleep(retryPause)
 	}
-	res.Outcome = told
+	res.Outcome = outcome
 	return res
 }
 
-// ask sends one request. No answer at all is an unknown outcome.
-func (ld *Load) ask(ctx context.Context, rq planned, key, addr string) Result {
+// sendOnce makes one attempt. Without any response the outcome is unknown.
+func (ld *Generator) sendOnce(ctx context.Context, rq plannedRequest, key, addr string) Result {
 	method := http.MethodGet
 	if rq.booking {
 		method = http.MethodPost
