--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -1,5 +1,5 @@
-// Package verify compares what callers were told and what usage was reported
-// with the workers' own journals.
+// Package verify checks the callers' results and the reported usage against the
+// workers' journals.
 //
 // Usage:
 //
@@ -25,34 +25,38 @@
 	weir "greengageweir"
 )
 
-// Report is the outcome of a comparison.
+// Report is the result of a comparison.
 type Report struct {
 	Requests int
-	Whole    int
+	Complete int
 	NotRun   int
 	Unknown  int
 	Resends  int
-	// RunTwice counts keys that ran more than once, Lost whole answers without
-	// a run, Lies requests that ran though the caller was told "not run".
-	RunTwice int
-	Lost     int
-	Lies     int
-	Wrong    int
-	// Cut counts runs that a planned stop interrupted.
-	Cut int
-	// FirstP50 and FirstP99 are times of first tries with a whole answer.
+	// RunTwice counts keys that ran more than once, Lost complete responses
+	// without a run, and FalseNotRun requests that ran although the caller got
+	// the outcome "not run".
+	RunTwice    int
+	Lost        int
+	FalseNotRun int
+	Wrong       int
+	// Interrupted counts planned stops that interrupted requests in flight.
+	Interrupted int
+	// FirstP50 and FirstP99 are response times of requests that got a complete
+	// response at the first attempt.
 	FirstP50 time.Duration
 	FirstP99 time.Duration
 
-	// Reasons counts why requests got no whole answer in the end.
+	// Reasons counts the requests without a complete response by reason.
 	Reasons map[string]int
 
+	// Ran is the usage according to the journals, Reported that in the usage
+	// reports.
 	Ran       fsm.UsageTotals
 	Reported  fsm.UsageTotals
 	HaveUsage bool
 }
 
-// ReadRuns reads all journals of a folder.
+// ReadRuns reads all journals in a directory.
 func ReadRuns(dir string) ([]worker.Run, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.journal"))
 	if err != nil {
@@ -87,18 +91,19 @@
 	return list, scan.Err()
 }
 
-// Compare compares results and usage with what ran.
+// Compare compares results and usage with the journals. A nil usage is not
+// compared.
 func Compare(results []load.Result, runs []worker.Run, usage []fsm.UsageLine) Report {
 	rep := Report{Requests: len(results), HaveUsage: usage != nil, Reasons: map[string]int{}}
 	counts := map[string]int{}
 	for _, rn := range runs {
 		rep.addRun(rn, counts)
 	}
-	var firsts []time.Duration
+	var firstTries []time.Duration
 	for _, res := range results {
 		rep.addResult(res, counts)
 		if res.Outcome == weir.Complete && res.Tries == 1 {
-			firsts = append(firsts, res.FirstTook)
+			firstTries = append(firstTries, res.FirstTook)
 		}
 	}
 	for _, count := range counts {
@@ -111,13 +116,13 @@
 		rep.Reported.Failed += line.Failed
 		rep.Reported.BusyMillis += line.BusyMillis
 	}
-	rep.FirstP50, rep.FirstP99 = quantile(firsts, 0.5), quantile(firsts, 0.99)
+	rep.FirstP50, rep.FirstP99 = quantile(firstTries, 0.5), quantile(firstTries, 0.99)
 	return rep
 }
 
 func (rp *Report) addRun(rn worker.Run, counts map[string]int) {
 	if rn.Cut {
-		rp.Cut++
+		rp.Interrupted++
 		return
 	}
 	if rn.Key != "" {
@@ -141,14 +146,14 @@
 	}
 	switch res.Outcome {
 	case weir.Complete:
-		rp.Whole++
+		rp.Complete++
 		if res.Key != "" && counts[res.Key] == 0 {
 			rp.Lost++
 		}
 	case weir.NotRun:
 		rp.NotRun++
 		if res.Key != "" && counts[res.Key] > 0 {
-			rp.Lies++
+			rp.FalseNotRun++
 		}
 	case weir.Unknown:
 		rp.Unknown++
@@ -163,28 +168,28 @@
 	return list[int(share*float64(len(list)-1))]
 }
 
-// Problem returns why the run is not good, or "".
+// Problem returns the first failed check, or "" if all passed.
 func (rp *Report) Problem() string {
 	switch {
-	case rp.Requests == 0 || rp.Whole == 0:
+	case rp.Requests == 0 || rp.Complete == 0:
 		return "no request got a whole answer"
 	case rp.RunTwice > 0:
 		return fmt.Sprintf("%d bookings ran twice", rp.RunTwice)
 	case rp.Lost > 0:
 		return fmt.Sprintf("%d bookings lost", rp.Lost)
-	case rp.Lies > 0:
-		return fmt.Sprintf("%d bookings ran though the caller was told not", rp.Lies)
+	case rp.FalseNotRun > 0:
+		return fmt.Sprintf("%d bookings ran though the caller was told not", rp.FalseNotRun)
 	case rp.Wrong > 0:
 		return fmt.Sprintf("%d wrong answers", rp.Wrong)
-	case rp.Cut > 0:
-		return fmt.Sprintf("%d planned stops cut work in flight", rp.Cut)
+	case rp.Interrupted > 0:
+		return fmt.Sprintf("%d planned stops cut work in flight", rp.Interrupted)
 	case rp.HaveUsage && rp.Ran != rp.Reported:
 		return fmt.Sprintf("usage reported %+v, really ran %+v", rp.Reported, rp.Ran)
 	}
 	return ""
 }
 
-// Print writes the table.
+// Print writes the report as a table.
 func (rp *Report) Print(wr io.Writer) {
 	tab := tabwriter.NewWriter(wr, 0, 8, 2, ' ', 0)
 	rows := []struct {
@@ -192,15 +197,15 @@
 		val  any
 	}{
 		{"requests", rp.Requests},
-		{"whole answers", rp.Whole},
+		{"whole answers", rp.Complete},
 		{"not run", rp.NotRun},
 		{"unknown", rp.Unknown},
 		{"resends by callers", rp.Resends},
 		{"run twice", rp.RunTwice},
 		{"lost", rp.Lost},
-		{"told not run, but ran", rp.Lies},
+		{"told not run, but ran", rp.FalseNotRun},
 		{"wrong answers", rp.Wrong},
-		{"cut by planned stops", rp.Cut},
+		{"cut by planned stops", rp.Interrupted},
 		{"first try p50 / p99", fmt.Sprintf("%s / %s", rp.FirstP50.Round(100*time.Microsecond), rp.FirstP99.Round(100*time.Microsecond))},
 	}
 	for _, row := range rows {
