--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a small stand-in for the network between zones: it
-// forwards TCP connections and can cut a zone off or go silent, without
-// closing anything, on request.
+// Package relay simulates the network between zones. It forwards TCP connections
+// and can, on request, cut off a zone or stop forwarding on open connections
+// without closing them.
 //
 // Usage:
 //
@@ -23,16 +23,16 @@
 	"greengageweir/internal/duty/ops"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindListen says that an address cannot be listened on.
+// KindListen means that a listener could not be opened.
 const KindListen Kind = "cannot listen"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
-// Route forwards what comes from one zone to a process in another.
+// Route forwards connections from one zone to a process in another.
 type Route struct {
 	FromZone string
 	Listen   string
@@ -41,30 +41,32 @@
 }
 
 const (
-	bufferBytes = 32 << 10
+	bufferSize  = 32 << 10
 	dialTimeout = time.Second
 )
 
-// Relay forwards. Set the exported fields before Run.
+// Relay forwards connections along its routes. Set the exported fields before
+// Run.
 type Relay struct {
 	ControlAddr string
 	Routes      []Route
 
-	mu  sync.Mutex
-	cut map[string]bool
-	// silenced is the generation of connections that no longer forward.
-	silenced int
-	opened   int
-	control  net.Listener
-	lists    []net.Listener
+	mu       sync.Mutex
+	cutZones map[string]bool
+	// silencedUpTo is the id of the newest connection that no longer forwards;
+	// neither do the older ones.
+	silencedUpTo int
+	accepted     int
+	control      net.Listener
+	listeners    []net.Listener
 }
 
-// String is the step's name in logs.
+// String returns the component's name in logs.
 func (rl *Relay) String() string { return "relay" }
 
 // Default opens all listeners.
 func (rl *Relay) Default() error {
-	rl.cut = map[string]bool{}
+	rl.cutZones = map[string]bool{}
 	var err error
 	if rl.control, err = net.Listen("tcp", rl.ControlAddr); err != nil {
 		return &Error{Op: "relay", Kind: KindListen, Err: err}
@@ -74,96 +76,99 @@
 		if err != nil {
 			return &Error{Op: "relay", Kind: KindListen, Err: err}
 		}
-		rl.lists = append(rl.lists, lis)
+		rl.listeners = append(rl.listeners, lis)
 	}
 	return nil
 }
 
-// Run forwards until the context ends.
+// Run forwards until the context is cancelled.
 func (rl *Relay) Run(ctx context.Context) error {
-	for ix, lis := range rl.lists {
-		go rl.accept(lis, rl.Routes[ix])
+	for ix, lis := range rl.listeners {
+		go rl.acceptLoop(lis, rl.Routes[ix])
 		defer func() { _ = lis.Close() }()
 	}
 	ech := ops.NewEcho()
-	ech.POST("/cut/:zone", func(ctx echo.Context) error { return rl.set(ctx, true) })
-	ech.POST("/heal/:zone", func(ctx echo.Context) error { return rl.set(ctx, false) })
+	ech.POST("/cut/:zone", func(ctx echo.Context) error { return rl.setCut(ctx, true) })
+	ech.POST("/heal/:zone", func(ctx echo.Context) error { return rl.setCut(ctx, false) })
 	ech.POST("/silence", rl.silence)
 	return ops.Serve(ctx, ops.NewHTTPServer(ech), rl.control, time.Second)
 }
 
-func (rl *Relay) set(ctx echo.Context, cut bool) error {
+// setCut cuts off or reconnects the zone named in the path.
+func (rl *Relay) setCut(ctx echo.Context, cut bool) error {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.cut[ctx.Param("zone")] = cut
+	rl.cutZones[ctx.Param("zone")] = cut
 	return ctx.NoContent(http.StatusOK)
 }
 
-// silence makes all present connections stop forwarding for good.
+// silence permanently stops forwarding on all open connections.
 func (rl *Relay) silence(ctx echo.Context) error {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.silenced = rl.opened
+	rl.silencedUpTo = rl.accepted
 	return ctx.NoContent(http.StatusOK)
 }
 
 func (rl *Relay) isCut(rt Route) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	return rl.cut[rt.FromZone] || rl.cut[rt.ToZone]
+	return rl.cutZones[rt.FromZone] || rl.cutZones[rt.ToZone]
 }
 
-func (rl *Relay) isSilent(number int) bool {
+func (rl *Relay) isSilent(id int) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	return number <= rl.silenced
+	return id <= rl.silencedUpTo
 }
 
-func (rl *Relay) accept(lis net.Listener, rt Route) {
+func (rl *Relay) acceptLoop(lis net.Listener, rt Route) {
 	for {
 		conn, err := lis.Accept()
 		if err != nil {
 			return
 		}
 		rl.mu.Lock()
-		rl.opened++
-		number := rl.opened
+		rl.accepted++
+		id := rl.accepted
 		rl.mu.Unlock()
-		go rl.forward(conn, rt, number)
+		go rl.forward(conn, rt, id)
 	}
 }
 
-// forward joins a connection to its target. While a zone is cut off, what is
-// sent is held back, as a network would lose and resend it.
-func (rl *Relay) forward(near net.Conn, rt Route, number int) {
+// forward connects an accepted connection to its target. While a zone is cut
+// off, data is held back, as TCP would resend it after the loss.
+func (rl *Relay) forward(client net.Conn, rt Route, id int) {
 	for rl.isCut(rt) {
-		time.Sleep(cutPoll)
+		time.Sleep(cutPollInterval)
 	}
-	far, err := net.DialTimeout("tcp", rt.Target, dialTimeout)
+	upstream, err := net.DialTimeout("tcp", rt.Target, dialTimeout)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	go rl.copy(near, far, rt, number)
-	rl.copy(far, near, rt, number)
+	go rl.pipe(client, upstream, rt, id)
+	rl.pipe(upstream, client, rt, id)
 }
 
-const cutPoll = 20 * time.Millisecond
+const cutPollInterval = 20 * time.Millisecond
 
-func (rl *Relay) copy(from, to net.Conn, rt Route, number int) {
+// pipe copies data in one direction. On a silenced connection it discards the
+// data instead.
+func (rl *Relay) pipe(from, to net.Conn, rt Route, id int) {
 	defer func() { _ = to.Close() }()
-	buf := make([]byte, bufferBytes)
+	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		if rl.isSilent(number) {
+		if rl.isSilent(id) {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
 		for rl.isCut(rt) {
-			time.Sleep(cutPoll)
+			time.Sleep(cutPollInterval)
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
