--- a/cmd/weirstandin/play.go
+++ b/cmd/weirstandin/play.go
@@ -27,8 +27,8 @@
 	errs := make([]error, len(results))
 	var wg sync.WaitGroup
 	for ix := range results {
-		pl := play.Player{Load: ld, Policy: play.Policy(pc.Policy[ix/int(pc.Seeds)]), Seed: int64(ix)%pc.Seeds + 1}
-		wg.Go(func() { results[ix], errs[ix] = pl.Run(context.Background()) })
+		si := play.Simulation{Load: ld, Policy: play.Policy(pc.Policy[ix/int(pc.Seeds)]), Seed: int64(ix)%pc.Seeds + 1}
+		wg.Go(func() { results[ix], errs[ix] = si.Run(context.Background()) })
 	}
 	wg.Wait()
 	for _, err := range errs {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,13 +1,13 @@
-// Package fleet is a stand-in for a whole fleet of machines in one process: it
-// takes the orders for tasks and for machines as workers and their platform
-// would, and lets tasks take the time that the load says. It waits with the
-// time package alone, so that tests can play it in simulated time.
+// Package fleet simulates a fleet of machines in one process. It takes orders for
+// tasks and for machines as workers and their platform would, and runs each task
+// for the duration that the load specifies. It waits only through the time
+// package, so that tests can run it in simulated time.
 //
 // Usage:
 //
-//	fl := &fleet.Fleet{Clock: clk, Task: task, Announce: announce, MoveTime: time.Second}
-//	fl.Add(fleet.Machine{Name: "m1", Pool: "desk", Rack: "r1", Room: room})
-//	own := &owner.Owner{Workers: fl, Machines: fl, ...}
+//	fl := &fleet.Fleet{Clock: clk, Task: task, OnWorkerUp: announce, MoveTime: time.Second}
+//	fl.Add(fleet.Machine{Name: "m1", Pool: "desk", Rack: "r1", Capacity: capacity})
+//	sch := &scheduler.Scheduler{Workers: fl, Machines: fl, ...}
 package fleet
 
 import (
@@ -27,38 +27,40 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindSilent says that nobody answers at an address.
-const KindSilent Kind = "no answer"
+// KindNoAnswer means that no worker responds at an address.
+const KindNoAnswer Kind = "no answer"
 
 // Error is the error type of this package.
 type Error = errkind.Error[Kind]
 
 const (
-	// oneWay is how long a message takes in each direction.
-	oneWay = 500 * time.Microsecond
+	// oneWayLatency is the network latency in each direction.
+	oneWayLatency = 500 * time.Microsecond
 )
 
-// Machine is one machine of the fleet.
+// Machine describes a machine of the fleet.
 type Machine struct {
-	Name string
-	Pool weir.PoolName
-	Rack string
-	Room spec.Resources
+	Name     string
+	Pool     weir.PoolName
+	Rack     string
+	Capacity spec.Resources
 }
 
-// Fleet is a set of machines. Set the exported fields before use.
+// Fleet simulates a set of machines and their workers. Set the exported fields
+// before use.
 type Fleet struct {
 	Clock weir.Clock
-	// Task tells what a run does when it begins; it must not block.
+	// Task returns the simulated work of a run at its start; it must not block.
 	Task func(order weir.RunOrder) taskworker.Task
-	// Announce tells of a worker that has come up.
-	Announce func(wk store.Worker)
-	// Standby names the pool whose machines are off.
-	Standby weir.PoolName
-	// MoveTime and MaintenanceTime are how long a machine is away.
+	// OnWorkerUp is called with each worker that has started.
+	OnWorkerUp func(wk store.Worker)
+	// StandbyPool is the pool whose machines are powered off.
+	StandbyPool weir.PoolName
+	// MoveTime and MaintenanceTime are how long a machine is down for a move to
+	// another pool and for maintenance.
 	MoveTime        time.Duration
 	MaintenanceTime time.Duration
 
@@ -67,69 +69,70 @@
 	mu       sync.Mutex
 	machines map[string]*machine
 	workers  map[weir.InstanceID]*taskworker.Worker
-	// counted holds what is over: the work of workers that are gone, and the
-	// time in pools until sampled.
-	counted Counts
-	sampled time.Time
+	// totals holds the work of stopped workers, and the time of machines in pools
+	// until lastSample.
+	totals     Counts
+	lastSample time.Time
 }
 
-// Counts is what was seen of the fleet.
+// Counts holds totals since the fleet was created.
 type Counts struct {
-	// Refused counts starts that found no room, Moves the machines that changed
-	// their pool.
-	Refused, Moves int
-	// Lost counts runs that ended with their machine, and LostWork what they
-	// had done, in core-seconds.
-	Lost     int
+	// RefusedStarts counts starts refused for lack of capacity, Moves the
+	// moves of machines between pools.
+	RefusedStarts, Moves int
+	// LostRuns counts runs that ended with their worker, LostWork their work, in
+	// core-seconds.
+	LostRuns int
 	LostWork float64
-	// PoolTime sums up how long machines were in pools that are not off, and
-	// Busy how much of that was worked, in core-seconds.
-	PoolTime time.Duration
-	Busy     float64
+	// PoolTime is the summed time of machines in all pools but the standby
+	// pool, BusyCoreSeconds the work of all tasks.
+	PoolTime        time.Duration
+	BusyCoreSeconds float64
 }
 
 type machine struct {
 	Machine
-	state weir.MachineState
-	life  int
-	id    weir.InstanceID // of its worker, "" where none is up
+	state       weir.MachineState
+	incarnation int
+	id          weir.InstanceID // of its worker, "" if none is running
 }
 
-// Add puts a machine into the fleet and brings its worker up.
+// Add adds a machine to the fleet and starts its worker.
 func (fl *Fleet) Add(mc Machine) {
 	fl.mu.Lock()
 	if fl.machines == nil {
 		fl.machines, fl.workers = map[string]*machine{}, map[weir.InstanceID]*taskworker.Worker{}
-		fl.sampled = fl.Clock.Now()
+		fl.lastSample = fl.Clock.Now()
 	}
 	one := &machine{Machine: mc}
 	fl.machines[mc.Name] = one
 	fl.mu.Unlock()
-	fl.bringUp(one)
+	fl.startWorker(one)
 }
 
-// bringUp starts a worker on a machine, unless its pool is off.
-func (fl *Fleet) bringUp(mc *machine) {
+// startWorker marks a machine as up and starts a worker there, unless the
+// machine is in the standby pool.
+func (fl *Fleet) startWorker(mc *machine) {
 	fl.mu.Lock()
-	fl.sample()
+	fl.addPoolTime()
 	mc.state = weir.MachineUp
-	if mc.Pool == fl.Standby {
+	if mc.Pool == fl.StandbyPool {
 		fl.mu.Unlock()
 		return
 	}
-	mc.life++
+	mc.incarnation++
 	now := fl.Clock.Now()
-	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.life))
-	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Capacity: mc.Room}
+	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.incarnation))
+	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Capacity: mc.Capacity}
 	wk := store.Worker{
-		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Room,
+		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Capacity,
 	}
 	fl.mu.Unlock()
-	fl.Announce(wk)
+	fl.OnWorkerUp(wk)
 }
 
-// takeDown ends a machine's worker and all that runs there. The lock is held.
-func (fl *Fleet) takeDown(mc *machine) {
+// stopWorker stops a machine's worker with all its runs. The lock must be held.
+func (fl *Fleet) stopWorker(mc *machine) {
 	wk := fl.workers[mc.id]
 	delete(fl.workers, mc.id)
 	mc.id = ""
@@ -138,79 +141,79 @@
 	}
 	us := wk.Usage()
 	wk.Kill()
-	fl.counted.Lost += us.Runs
-	fl.counted.LostWork += us.RunningWork
-	fl.counted.Busy += us.TotalWork
+	fl.totals.LostRuns += us.Runs
+	fl.totals.LostWork += us.RunningWork
+	fl.totals.BusyCoreSeconds += us.TotalWork
 }
 
-// sample adds the time since the last change of pools to the counts. The lock
-// is held.
-func (fl *Fleet) sample() {
+// addPoolTime adds the time since lastSample to PoolTime. It must run before a
+// machine changes its pool, with the lock held.
+func (fl *Fleet) addPoolTime() {
 	now := fl.Clock.Now()
-	span := now.Sub(fl.sampled)
-	fl.sampled = now
+	span := now.Sub(fl.lastSample)
+	fl.lastSample = now
 	for _, mc := range fl.machines {
-		if mc.Pool != fl.Standby {
-			fl.counted.PoolTime += span
+		if mc.Pool != fl.StandbyPool {
+			fl.totals.PoolTime += span
 		}
 	}
 }
 
-// Counts returns what was seen so far.
+// Counts returns the totals so far.
 func (fl *Fleet) Counts() Counts {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.sample()
-	out := fl.counted
-	out.Refused = int(fl.refused.Load())
+	fl.addPoolTime()
+	out := fl.totals
+	out.RefusedStarts = int(fl.refused.Load())
 	for _, wk := range fl.workers {
-		out.Busy += wk.Usage().TotalWork
+		out.BusyCoreSeconds += wk.Usage().TotalWork
 	}
 	return out
 }
 
-// View is what can be seen of a machine.
-type View struct {
+// MachineStatus is the observed state of a machine.
+type MachineStatus struct {
 	Name   string
 	Pool   weir.PoolName
 	Up     bool
 	Worker weir.InstanceID
-	// Runs is how many tasks run there, on Cores cores.
+	// Runs is the number of tasks in progress, Cores the cores reserved for them.
 	Runs  int
 	Cores float64
 }
 
-// Views returns what can be seen of each machine, by name.
-func (fl *Fleet) Views() []View {
+// Statuses returns the state of every machine, sorted by name.
+func (fl *Fleet) Statuses() []MachineStatus {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	out := make([]View, 0, len(fl.machines))
+	out := make([]MachineStatus, 0, len(fl.machines))
 	for _, mc := range fl.machines {
-		vw := View{Name: mc.Name, Pool: mc.Pool, Up: mc.state == weir.MachineUp, Worker: mc.id}
+		vw := MachineStatus{Name: mc.Name, Pool: mc.Pool, Up: mc.state == weir.MachineUp, Worker: mc.id}
 		if wk := fl.workers[mc.id]; wk != nil {
 			us := wk.Usage()
 			vw.Runs, vw.Cores = us.Runs, us.Cores
 		}
 		out = append(out, vw)
 	}
-	slices.SortFunc(out, func(one, other View) int { return cmp.Compare(one.Name, other.Name) })
+	slices.SortFunc(out, func(one, other MachineStatus) int { return cmp.Compare(one.Name, other.Name) })
 	return out
 }
 
-// Crash ends a machine's worker without notice and brings another up later.
+// Crash stops a machine's worker without notice and starts another after away.
 func (fl *Fleet) Crash(name string, away time.Duration) {
 	fl.mu.Lock()
-	fl.sample()
+	fl.addPoolTime()
 	mc := fl.machines[name]
-	fl.takeDown(mc)
+	fl.stopWorker(mc)
 	mc.state = weir.MachineDown
 	fl.mu.Unlock()
-	time.AfterFunc(away, func() { fl.bringUp(mc) })
+	time.AfterFunc(away, func() { fl.startWorker(mc) })
 }
 
 // Machines implements weir.MachinePlatform.
 func (fl *Fleet) Machines(context.Context) ([]weir.Machine, error) {
-	time.Sleep(2 * oneWay)
+	time.Sleep(2 * oneWayLatency)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var out []weir.Machine
@@ -222,7 +225,7 @@
 
 // Order implements weir.MachinePlatform.
 func (fl *Fleet) Order(_ context.Context, order weir.MachineOrder) (weir.MachineResponse, error) {
-	time.Sleep(2 * oneWay)
+	time.Sleep(2 * oneWayLatency)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	mc := fl.machines[order.Machine]
@@ -234,14 +237,14 @@
 	case mc.state != weir.MachineUp:
 		return weir.MachineBusy, nil
 	}
-	fl.sample()
-	fl.takeDown(mc)
+	fl.addPoolTime()
+	fl.stopWorker(mc)
 	away := fl.MaintenanceTime
 	mc.state = weir.MachineMaintenance
 	if order.Wave == 0 {
 		mc.Pool, mc.state, away = order.Pool, weir.MachineMoving, fl.MoveTime
-		fl.counted.Moves++
+		fl.totals.Moves++
 	}
-	time.AfterFunc(away, func() { fl.bringUp(mc) })
+	time.AfterFunc(away, func() { fl.startWorker(mc) })
 	return weir.MachineAccepted, nil
 }
--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -14,124 +14,128 @@
 	weir "greengageweir"
 )
 
-// standby is the pool whose machines are off.
+// standby is the pool whose machines are powered off.
 const standby weir.PoolName = "standby"
 
 // Pool is a pool and the queue that feeds it.
 type Pool struct {
 	Name     weir.PoolName
 	Machines int
-	// PerSecond is the mean rate of jobs.
-	PerSecond float64
-	Priority  int
-	// Steps, Width, Cores and Work are the means of a job's steps, a step's
-	// tasks, a task's cores and its seconds.
-	Steps, Width, Cores, Work float64
-	// Uneven is how much the tasks of a step differ, EstimateOff how wrong a
-	// caller's estimate is, both as shares.
-	Uneven, EstimateOff float64
-	Checkpointing       bool
-	// Phase is the pool's place in the turns of Load.Period.
+	// JobsPerSecond is the mean arrival rate of jobs.
+	JobsPerSecond float64
+	Priority      int
+	// Steps, TasksPerStep, Cores and TaskSeconds are the means of the steps of a
+	// job, the tasks of a step, and the cores and duration of a task.
+	Steps, TasksPerStep, Cores, TaskSeconds float64
+	// TaskVariation is the spread of task durations within a step, EstimateError
+	// that of the callers' estimates, both as the standard deviation of the
+	// logarithm.
+	TaskVariation, EstimateError float64
+	Checkpointing                bool
+	// Phase is the position of the pool in the cycle of peaks, see Load.Period.
 	Phase int
-	// Worth is that of a mean job in time, LateWorth of one that is late.
+	// Worth is the value of a job of mean size that meets its objective,
+	// LateWorth that of one that is late.
 	Worth, LateWorth float64
-	// Lasting is the number of jobs that last, LastingWidth the tasks of each,
-	// LastingCores what one takes; one task of a job may be away at a time.
-	Lasting, LastingWidth int
-	LastingCores          float64
+	// LongRunningJobs is the number of jobs that run until stopped,
+	// LongRunningTasks the number of tasks of each, LongRunningCores the cores
+	// of a task. One task of such a job may be unavailable at a time.
+	LongRunningJobs, LongRunningTasks int
+	LongRunningCores                  float64
 }
 
-// Wave is maintenance of a share of the machines.
+// Wave is planned maintenance of a share of the machines.
 type Wave struct {
-	At, Within time.Duration
-	Share      float64
-	AtOnce     int
+	At, Within  time.Duration
+	Share       float64
+	MaxParallel int
 }
 
-// Crash takes machines away without notice.
+// Crash stops a share of the machines without notice.
 type Crash struct {
-	At, Away time.Duration
-	Share    float64
+	At, Downtime time.Duration
+	Share        float64
 }
 
-// Load is what is asked of a fleet for some time. The pools' demand rises in
-// turns to Peak times its mean, and is Swing of its mean in between.
+// Load describes a fleet, the demand on it, and its disruptions and costs. The
+// demand of each pool peaks in turn at PeakFactor times its mean, and is
+// BaseFactor times its mean otherwise.
 type Load struct {
 	Name     string
 	Duration time.Duration
 	Pools    []Pool
-	// Standby is the number of machines that are off at first.
+	// Standby is the number of machines that are powered off at the start.
 	Standby int
-	// Room is a machine's cores, Rack how many machines share a rack.
-	Room float64
-	Rack int
-	// Period is the time of one turn; Phase counts turns.
-	Period      time.Duration
-	Peak, Swing float64
-	// Stretch and Target make up a job's objective: Stretch times its chain of
-	// work, and Target more.
+	// MachineCores is the number of cores of a machine.
+	MachineCores    float64
+	MachinesPerRack int
+	// Period is how long one pool is at its peak; Pool.Phase counts periods.
+	Period                 time.Duration
+	PeakFactor, BaseFactor float64
+	// Stretch and Target make up the latency objective of a job: Stretch times
+	// its critical path, plus Target.
 	Stretch  float64
 	Target   time.Duration
 	MoveTime time.Duration
 	Waves    []Wave
 	Crashes  []Crash
-	// MachinePrice is what a second of a machine in a pool costs, MovePrice
-	// what a move costs, both in shares of all that could be earned.
-	MachinePrice, MovePrice float64
+	// MachineCost is the cost of a machine in a pool for one second, MoveCost
+	// that of one move, both as shares of the total worth of all jobs.
+	MachineCost, MoveCost float64
 }
 
-// Small is a load like those of the users' two sites: 48 machines, of which
-// eight stand by, and four pools that peak in turn.
+// Small returns a load like those of the users' two sites: 48 machines, eight of
+// them on standby, and four pools that peak in turn.
 func Small() Load {
-	short := Pool{Steps: 1.6, Width: 6, Cores: 3.5, Work: 1, Uneven: 0.15, EstimateOff: 0.2, Worth: 0.5, LateWorth: 0.035}
+	short := Pool{Steps: 1.6, TasksPerStep: 6, Cores: 3.5, TaskSeconds: 1, TaskVariation: 0.15, EstimateError: 0.2, Worth: 0.5, LateWorth: 0.035}
 	long := Pool{
-		Steps: 2, Width: 8, Cores: 7.7, Work: 2.1, Uneven: 0.3, EstimateOff: 0.2, Worth: 3.85, LateWorth: 0.27, Priority: 1, Checkpointing: true,
+		Steps: 2, TasksPerStep: 8, Cores: 7.7, TaskSeconds: 2.1, TaskVariation: 0.3, EstimateError: 0.2, Worth: 3.85, LateWorth: 0.27, Priority: 1, Checkpointing: true,
 	}
 	ld := Load{
-		Name: "small", Duration: 34 * time.Second, Standby: 8, Room: 64, Rack: 4,
-		Period: 4500 * time.Millisecond, Peak: 4, Swing: 0.05, Stretch: 1.6, Target: 600 * time.Millisecond,
-		MoveTime: 1500 * time.Millisecond, MachinePrice: 0.157 / 1100, MovePrice: 0.025 / 230,
+		Name: "small", Duration: 34 * time.Second, Standby: 8, MachineCores: 64, MachinesPerRack: 4,
+		Period: 4500 * time.Millisecond, PeakFactor: 4, BaseFactor: 0.05, Stretch: 1.6, Target: 600 * time.Millisecond,
+		MoveTime: 1500 * time.Millisecond, MachineCost: 0.157 / 1100, MoveCost: 0.025 / 230,
 	}
 	for ix, po := range []Pool{short, long, short, long} {
 		po.Name = weir.PoolName([]string{"north", "central", "south", "district"}[ix])
 		po.Machines = []int{8, 9, 11, 12}[ix]
-		po.PerSecond = []float64{7.26, 1.06, 9.09, 1.3}[ix]
-		po.Phase, po.Lasting, po.LastingWidth, po.LastingCores = ix, 2, 5, 6
+		po.JobsPerSecond = []float64{7.26, 1.06, 9.09, 1.3}[ix]
+		po.Phase, po.LongRunningJobs, po.LongRunningTasks, po.LongRunningCores = ix, 2, 5, 6
 		ld.Pools = append(ld.Pools, po)
 	}
 	return ld
 }
 
-// Grown is a load like those of the users' grown sites: 349 machines.
+// Grown returns a load like those of the users' sites after growth: 349 machines.
 func Grown() Load {
 	ld := Small()
-	ld.Name, ld.Duration, ld.Standby, ld.Rack = "grown", 41*time.Second, 56, 12
-	ld.MachinePrice, ld.MovePrice = 0.152/22600, 0.0068/890
+	ld.Name, ld.Duration, ld.Standby, ld.MachinesPerRack = "grown", 41*time.Second, 56, 12
+	ld.MachineCost, ld.MoveCost = 0.152/22600, 0.0068/890
 	for ix := range ld.Pools {
 		po := &ld.Pools[ix]
 		po.Machines = []int{61, 69, 78, 85}[ix]
-		po.PerSecond = []float64{22.4, 4.58, 28, 5.6}[ix]
-		po.Width, po.Cores = 8, []float64{6.2, 13, 6.2, 13}[ix]
-		po.Lasting, po.LastingWidth = 4, 24
+		po.JobsPerSecond = []float64{22.4, 4.58, 28, 5.6}[ix]
+		po.TasksPerStep, po.Cores = 8, []float64{6.2, 13, 6.2, 13}[ix]
+		po.LongRunningJobs, po.LongRunningTasks = 4, 24
 	}
 	return ld
 }
 
-// WithTrouble returns the load with a wave over half of the machines and
-// machines that crash.
+// WithTrouble returns the load with a maintenance wave over almost half of the
+// machines and two crashes.
 func (ld Load) WithTrouble() Load {
 	ld.Name += "Trouble"
-	ld.Waves = []Wave{{At: 2 * time.Second, Within: 26 * time.Second, Share: 0.45, AtOnce: max(ld.machines()/6, 1)}}
+	ld.Waves = []Wave{{At: 2 * time.Second, Within: 26 * time.Second, Share: 0.45, MaxParallel: max(ld.machines()/6, 1)}}
 	ld.Crashes = []Crash{
-		{At: 10 * time.Second, Away: 7 * time.Second, Share: 0.08}, {At: 20 * time.Second, Away: 5 * time.Second, Share: 0.08},
+		{At: 10 * time.Second, Downtime: 7 * time.Second, Share: 0.08}, {At: 20 * time.Second, Downtime: 5 * time.Second, Share: 0.08},
 	}
 	return ld
 }
 
-// loads are those that can be named.
+// loads returns all named loads.
 func loads() []Load { return []Load{Small(), Small().WithTrouble(), Grown(), Grown().WithTrouble()} }
 
-// LoadNames returns the names that LoadByName knows.
+// LoadNames returns the names that LoadByName accepts.
 func LoadNames() []string {
 	var names []string
 	for _, ld := range loads() {
@@ -140,16 +144,17 @@
 	return names
 }
 
-// LoadByName returns one of the loads above.
+// LoadByName returns the load with a name, or an error of KindLoad.
 func LoadByName(name string) (Load, error) {
 	for _, ld := range loads() {
 		if ld.Name == name {
 			return ld, nil
 		}
 	}
-	return Load{}, &Error{Op: "load " + name, Kind: KindLoad, Err: errors.Errorf("known are %v", LoadNames())}
+	return Load{}, &Error{Op: "load " + name, Kind: KindLoad, Err: errors.Errorf("known loads: %v", LoadNames())}
 }
 
+// machines returns the number of machines, standby included.
 func (ld Load) machines() int {
 	count := ld.Standby
 	for _, po := range ld.Pools {
@@ -158,7 +163,7 @@
 	return count
 }
 
-// catalog is the configuration that the load needs.
+// catalog returns the pools and queues that the load needs.
 func (ld Load) catalog() *catalog.Catalog {
 	ct := &catalog.Catalog{Version: 1, Document: []byte("{}"), Pools: []catalog.Pool{{Name: standby, Standby: true}}}
 	for _, po := range ld.Pools {
@@ -171,36 +176,37 @@
 	return ct
 }
 
-// rate is how many jobs a pool's queue gets a second at a time.
+// rate returns the arrival rate of a pool's jobs, per second, at a time.
 func (ld Load) rate(po Pool, at time.Duration) float64 {
 	turn := int(at / ld.Period)
 	if turn%len(ld.Pools) == po.Phase {
-		return po.PerSecond * ld.Peak
+		return po.JobsPerSecond * ld.PeakFactor
 	}
-	return po.PerSecond * ld.Swing
+	return po.JobsPerSecond * ld.BaseFactor
 }
 
-// planned is a job that the load will submit, with what its tasks really take.
-type planned struct {
-	pool    Pool
-	at      time.Duration
-	job     *spec.Job
-	lengths [][]time.Duration
-	// chain is the longest chain of work, work all of it in core-seconds.
-	chain time.Duration
-	work  float64
+// plannedJob is a job to submit, with the actual durations of its tasks.
+type plannedJob struct {
+	pool      Pool
+	at        time.Duration
+	job       *spec.Job
+	durations [][]time.Duration
+	// criticalPath is the sum of the longest task durations of all steps, work
+	// the core-seconds of all tasks.
+	criticalPath time.Duration
+	work         float64
 }
 
-// step is how finely the arrival of jobs is drawn.
-const step = 10 * time.Millisecond
+// arrivalStep is the resolution of the random arrival times.
+const arrivalStep = 10 * time.Millisecond
 
-// draw returns the jobs of one seed in order of their submission.
-func (ld Load) draw(seed int64) []planned {
-	rng := rand.New(rand.NewSource(seed)) //nolint:gosec // a load is no secret
-	var out []planned
-	for at := time.Duration(0); at < ld.Duration; at += step {
+// drawJobs returns the random jobs of a seed in order of submission.
+func (ld Load) drawJobs(seed int64) []plannedJob {
+	rng := rand.New(rand.NewSource(seed)) //nolint:gosec // the load must be reproducible, not secret
+	var out []plannedJob
+	for at := time.Duration(0); at < ld.Duration; at += arrivalStep {
 		for _, po := range ld.Pools {
-			if rng.Float64() < ld.rate(po, at)*step.Seconds() {
+			if rng.Float64() < ld.rate(po, at)*arrivalStep.Seconds() {
 				out = append(out, ld.drawJob(rng, po, at, len(out)))
 			}
 		}
@@ -208,42 +214,44 @@
 	return out
 }
 
-// around draws a value around a mean; spread is the deviation of its logarithm.
-func around(rng *rand.Rand, mean, spread, most float64) float64 {
+// lognormal draws a log-normal value with the given mean, capped at most; spread
+// is the standard deviation of its logarithm.
+func lognormal(rng *rand.Rand, mean, spread, most float64) float64 {
 	return min(mean*math.Exp(rng.NormFloat64()*spread-spread*spread/2), most)
 }
 
-func (ld Load) drawJob(rng *rand.Rand, po Pool, at time.Duration, number int) planned {
-	pd := planned{pool: po, at: at, job: &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-%d", po.Name, number)), Text: "play"}}
-	for sp := range max(1, int(math.Round(around(rng, po.Steps, 0.4, 2.5*po.Steps)))) {
-		mean := around(rng, po.Work, 0.5, 2.5*po.Work)
+// drawJob draws a job whose steps run one after the other.
+func (ld Load) drawJob(rng *rand.Rand, po Pool, at time.Duration, number int) plannedJob {
+	pd := plannedJob{pool: po, at: at, job: &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-%d", po.Name, number)), Text: "play"}}
+	for sp := range max(1, int(math.Round(lognormal(rng, po.Steps, 0.4, 2.5*po.Steps)))) {
+		mean := lognormal(rng, po.TaskSeconds, 0.5, 2.5*po.TaskSeconds)
 		st := spec.Step{
-			Count:     max(1, int(math.Round(around(rng, po.Width, 0.6, 4*po.Width)))),
-			Resources: spec.Resources{MilliCPU: int(1000 * around(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
-			Estimate:  time.Duration(around(rng, mean, po.EstimateOff, 3*mean) * float64(time.Second)), Checkpointing: po.Checkpointing,
+			Count:     max(1, int(math.Round(lognormal(rng, po.TasksPerStep, 0.6, 4*po.TasksPerStep)))),
+			Resources: spec.Resources{MilliCPU: int(1000 * lognormal(rng, po.Cores, 0.45, 3*po.Cores)), MemoryMB: 1},
+			Estimate:  time.Duration(lognormal(rng, mean, po.EstimateError, 3*mean) * float64(time.Second)), Checkpointing: po.Checkpointing,
 		}
 		if sp > 0 {
 			st.After = []int{sp - 1}
 		}
 		longest, lengths := time.Duration(0), make([]time.Duration, st.Count)
 		for ix := range lengths {
-			lengths[ix] = time.Duration(around(rng, mean, po.Uneven, 3*mean) * float64(time.Second))
+			lengths[ix] = time.Duration(lognormal(rng, mean, po.TaskVariation, 3*mean) * float64(time.Second))
 			longest = max(longest, lengths[ix])
 			pd.work += lengths[ix].Seconds() * float64(st.Resources.MilliCPU) / 1000
 		}
-		pd.chain += longest
+		pd.criticalPath += longest
 		pd.job.Steps = append(pd.job.Steps, st)
-		pd.lengths = append(pd.lengths, lengths)
+		pd.durations = append(pd.durations, lengths)
 	}
 	return pd
 }
 
-// lasting returns the jobs of a pool that last.
-func (po Pool) lasting() []*spec.Job {
+// newLongRunningJobs returns the long-running jobs of a pool.
+func (po Pool) newLongRunningJobs() []*spec.Job {
 	var out []*spec.Job
-	for ix := range po.Lasting {
+	for ix := range po.LongRunningJobs {
 		out = append(out, &spec.Job{ID: weir.JobID(fmt.Sprintf("%s-lasting-%d", po.Name, ix)), Text: "play", Steps: []spec.Step{{
-			Count: po.LastingWidth, Resources: spec.Resources{MilliCPU: int(1000 * po.LastingCores), MemoryMB: 1}, LongRunning: true,
+			Count: po.LongRunningTasks, Resources: spec.Resources{MilliCPU: int(1000 * po.LongRunningCores), MemoryMB: 1}, LongRunning: true,
 			MaxPerWorker: 1, MaxUnavailable: 1,
 		}}})
 	}
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -1,12 +1,12 @@
-// Package play runs the real owner of jobs against a stand-in fleet under a
-// load, and tells what callers got and what it cost. The log is one that
-// commits after the time of a sync; messages, moves and tasks take their time.
-// It waits with the time package alone: a command plays in real time, tests in
-// simulated time.
+// Package play runs the real job scheduler against a simulated fleet under a
+// load, and reports what callers got and what it cost. The replicated log is
+// replaced by one that commits after a fixed delay; messages, moves and tasks are
+// simulated with their durations. It waits only through the time package, so that
+// the command runs in real time and tests run in simulated time.
 //
 // Usage:
 //
-//	res := play.Player{Load: play.Small(), Seed: 1}.Run(ctx)
+//	res, err := play.Simulation{Load: play.Small(), Seed: 1}.Run(ctx)
 //	play.Print(os.Stdout, []play.Result{res})
 package play
 
@@ -32,12 +32,12 @@
 	weir "greengageweir"
 )
 
-// Kind tells the errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors.
+// The error kinds.
 const (
-	// KindRefused says that a call of the load itself failed.
+	// KindRefused means that a call of the load to the job API failed.
 	KindRefused Kind = "call failed"
 	KindPlot    Kind = "plot not written"
 	KindLoad    Kind = "load not readable"
@@ -47,100 +47,101 @@
 type Error = errkind.Error[Kind]
 
 const (
-	// syncTime is how long the log takes for an entry: a sync here, the way to
-	// the others and back.
+	// syncTime is the commit latency of a log entry: a local disk sync and a
+	// round trip to the other replicas.
 	syncTime = 5 * time.Millisecond
-	// lead is how long workers are up before the load begins.
-	lead = 3 * time.Second
-	// finish is how long jobs may end after it.
-	finish = 14 * time.Second
-	// announceEvery is how often a worker announces itself until it is taken.
-	announceEvery = 100 * time.Millisecond
-	// settle is how long calls that are under way at the end take at most.
-	settle = 2 * time.Second
-	// sampleEvery separates looks at the fleet.
-	sampleEvery = 100 * time.Millisecond
-	// lateShare times the objective is when a late answer is of no use.
-	lateShare = 3
+	// warmup is how long workers run before the load begins.
+	warmup = 3 * time.Second
+	// completionTime is how long jobs may still complete after the load.
+	completionTime = 14 * time.Second
+	// announceInterval is the time between retries of a worker announcement, and
+	// of the catalog at the start.
+	announceInterval = 100 * time.Millisecond
+	// shutdownGrace is longer than any call in progress at the end can take.
+	shutdownGrace = 2 * time.Second
+	// sampleInterval is the time between two samples of the fleet.
+	sampleInterval = 100 * time.Millisecond
+	// lateFactor times the objective is the time after which a job is worthless.
+	lateFactor = 3
 )
 
-// Policy is how capacity follows demand.
+// Policy decides how machines follow demand.
 type Policy string
 
 // The policies.
 const (
-	// PolicyOwner is the product's own.
-	PolicyOwner Policy = "owner"
+	// PolicyScheduler lets the job scheduler move machines.
+	PolicyScheduler Policy = "owner"
 	// PolicyStatic moves no machine.
 	PolicyStatic Policy = "static"
-	// PolicyReactive follows thresholds of use, one machine a look.
+	// PolicyReactive moves one machine at a time by utilization thresholds.
 	PolicyReactive Policy = "reactive"
-	// PolicyKnown knows what will be asked when; it bounds what a forecast can
-	// gain.
+	// PolicyKnown knows future demand; it is an upper bound for any forecast.
 	PolicyKnown Policy = "known"
 )
 
-// Policies are all of them, baselines first.
-func Policies() []Policy { return []Policy{PolicyStatic, PolicyReactive, PolicyOwner, PolicyKnown} }
+// Policies returns all policies in the order of the table.
+func Policies() []Policy { return []Policy{PolicyStatic, PolicyReactive, PolicyScheduler, PolicyKnown} }
 
-// Player plays one load. Set the exported fields before Run.
-type Player struct {
+// Simulation runs one load under a policy. Set the exported fields before Run.
+type Simulation struct {
 	Load   Load
 	Policy Policy
 	Seed   int64
 	Logger log.Logger
 }
 
-// alone is the leadership of a log with one member.
-type alone struct{}
+// soleLeader implements the leadership of a log with a single member.
+type soleLeader struct{}
 
-func (alone) Leads() bool      { return true }
-func (alone) Term() uint64     { return 1 }
-func (alone) LeaderID() string { return "" }
+func (soleLeader) Leads() bool      { return true }
+func (soleLeader) Term() uint64     { return 1 }
+func (soleLeader) LeaderID() string { return "" }
 
-// slowLog commits each entry after the time of a sync.
-type slowLog struct {
-	machine *store.Store
-	index   uint64
+// delayedLog commits each entry after syncTime.
+type delayedLog struct {
+	store *store.Store
+	index uint64
 }
 
-// Propose implements owner.Proposer; the committer calls it in turn.
-func (sl *slowLog) Propose(_ context.Context, data []byte) (any, error) {
+// Propose implements scheduler.Proposer. The committer never calls it
+// concurrently.
+func (sl *delayedLog) Propose(_ context.Context, data []byte) (any, error) {
 	time.Sleep(syncTime)
 	sl.index++
-	return sl.machine.Apply(sl.index, data), nil
+	return sl.store.Apply(sl.index, data), nil
 }
 
-// stage is one play.
-type stage struct {
-	Player
+// simulationRun is the state of one simulation.
+type simulationRun struct {
+	Simulation
 	clock   clock.Wall
 	store   *store.Store
-	service *handler.Handler
+	handler *handler.Handler
 	fleet   *fleet.Fleet
-	jobs    []planned
-	// lengths and needs are complete before anything runs.
-	lengths map[weir.JobID]planned
-	needs   map[weir.JobID][]spec.Step
+	jobs    []plannedJob
+	// planned and jobSteps are read-only once the components run.
+	planned  map[weir.JobID]plannedJob
+	jobSteps map[weir.JobID][]spec.Step
 
 	samples []Sample
 
-	mu    sync.Mutex
-	began map[weir.JobID]time.Time
+	mu          sync.Mutex
+	firstStarts map[weir.JobID]time.Time
 }
 
-// Run plays the load and returns what came of it.
-func (pl Player) Run(ctx context.Context) (Result, error) {
-	if pl.Logger == nil {
-		pl.Logger = log.NewNopLogger()
+// Run runs the load and returns its result.
+func (si Simulation) Run(ctx context.Context) (Result, error) {
+	if si.Logger == nil {
+		si.Logger = log.NewNopLogger()
 	}
-	sg := &stage{Player: pl, store: store.New(), jobs: pl.Load.draw(pl.Seed), lengths: map[weir.JobID]planned{}, needs: map[weir.JobID][]spec.Step{}, began: map[weir.JobID]time.Time{}}
-	for _, pd := range sg.jobs {
-		sg.lengths[pd.job.ID], sg.needs[pd.job.ID] = pd, pd.job.Steps
+	sr := &simulationRun{Simulation: si, store: store.New(), jobs: si.Load.drawJobs(si.Seed), planned: map[weir.JobID]plannedJob{}, jobSteps: map[weir.JobID][]spec.Step{}, firstStarts: map[weir.JobID]time.Time{}}
+	for _, pd := range sr.jobs {
+		sr.planned[pd.job.ID], sr.jobSteps[pd.job.ID] = pd, pd.job.Steps
 	}
-	for _, po := range pl.Load.Pools {
-		for _, jb := range po.lasting() {
-			sg.needs[jb.ID] = jb.Steps
+	for _, po := range si.Load.Pools {
+		for _, jb := range po.newLongRunningJobs() {
+			sr.jobSteps[jb.ID] = jb.Steps
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -148,103 +149,105 @@
 	defer func() {
 		cancel()
 		wg.Wait()
-		time.Sleep(settle)
+		time.Sleep(shutdownGrace)
 	}()
-	steps := sg.build(ctx)
+	steps := sr.buildComponents(ctx)
 	if err := run.Defaults(steps...); err != nil {
 		return Result{}, err
 	}
 	for _, stp := range steps {
 		wg.Go(func() { _ = stp.Run(ctx) })
 	}
-	if err := sg.prepare(ctx); err != nil {
+	if err := sr.setUp(ctx); err != nil {
 		return Result{}, err
 	}
-	before := sg.fleet.Counts()
-	sg.perform(ctx)
-	res := sg.result(before, sg.fleet.Counts())
+	before := sr.fleet.Counts()
+	sr.runLoad(ctx)
+	res := sr.result(before, sr.fleet.Counts())
 	return res, nil
 }
 
-// build makes the parts of the program that lead, and the fleet.
-func (sg *stage) build(ctx context.Context) []weir.Component {
-	com := &scheduler.Committer{Log: &slowLog{machine: sg.store}, Wall: sg.clock}
-	sg.fleet = &fleet.Fleet{
-		Clock: sg.clock, Task: sg.task, Announce: func(wk store.Worker) { sg.announce(ctx, wk) }, Standby: standby,
-		MoveTime: sg.Load.MoveTime, MaintenanceTime: 2 * time.Second,
+// buildComponents creates the scheduler, its committer and handler, and the
+// fleet. It returns the components to run.
+func (sr *simulationRun) buildComponents(ctx context.Context) []weir.Component {
+	com := &scheduler.Committer{Log: &delayedLog{store: sr.store}, Wall: sr.clock}
+	sr.fleet = &fleet.Fleet{
+		Clock: sr.clock, Task: sr.task, OnWorkerUp: func(wk store.Worker) { sr.announce(ctx, wk) }, StandbyPool: standby,
+		MoveTime: sr.Load.MoveTime, MaintenanceTime: 2 * time.Second,
 	}
 	own := &scheduler.Scheduler{
-		Store: sg.store, Committer: com, Leadership: alone{}, Workers: sg.fleet, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+		Store: sr.store, Committer: com, Leadership: soleLeader{}, Workers: sr.fleet, Clock: sr.clock, Wall: sr.clock, Logger: sr.Logger,
 		Lease: 3 * time.Second, Retention: time.Minute, MachineOrderDelay: 3500 * time.Millisecond,
 	}
-	if sg.Policy == PolicyOwner {
-		own.Machines = sg.fleet
+	if sr.Policy == PolicyScheduler {
+		own.Machines = sr.fleet
 	}
-	sg.store.Clock = sg.clock
-	sg.store.OnApplied = own.Wake
-	sg.service = &handler.Handler{
-		Store: sg.store, Committer: com, Owner: own, Leader: alone{}, Clock: sg.clock, Wall: sg.clock, Logger: sg.Logger,
+	sr.store.Clock = sr.clock
+	sr.store.OnApplied = own.Wake
+	sr.handler = &handler.Handler{
+		Store: sr.store, Committer: com, Owner: own, Leader: soleLeader{}, Clock: sr.clock, Wall: sr.clock, Logger: sr.Logger,
 	}
 	return []weir.Component{com, own}
 }
 
-// task tells what a run does, and notes when its job began.
-func (sg *stage) task(order weir.RunOrder) taskworker.Task {
-	sg.note(order.Task, sg.clock.Now())
-	out := taskworker.Task{Resources: sg.needs[order.Task.Job][order.Task.Step].Reserved(), LongRunning: true}
-	if pd, ok := sg.lengths[order.Task.Job]; ok {
-		out.Duration, out.LongRunning = pd.lengths[order.Task.Step][order.Task.Index], false
+// task returns the simulated work of a run and records the start of its job.
+func (sr *simulationRun) task(order weir.RunOrder) taskworker.Task {
+	sr.recordStart(order.Task, sr.clock.Now())
+	out := taskworker.Task{Resources: sr.jobSteps[order.Task.Job][order.Task.Step].Reserved(), LongRunning: true}
+	if pd, ok := sr.planned[order.Task.Job]; ok {
+		out.Duration, out.LongRunning = pd.durations[order.Task.Step][order.Task.Index], false
 	}
 	return out
 }
 
-// note keeps when a job began.
-func (sg *stage) note(task weir.TaskRef, at time.Time) {
-	sg.mu.Lock()
-	defer sg.mu.Unlock()
-	if _, ok := sg.began[task.Job]; !ok {
-		sg.began[task.Job] = at
+// recordStart records the first start of a job.
+func (sr *simulationRun) recordStart(task weir.TaskRef, at time.Time) {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	if _, ok := sr.firstStarts[task.Job]; !ok {
+		sr.firstStarts[task.Job] = at
 	}
 }
 
-// announce tells the owner of a worker until it is taken.
-func (sg *stage) announce(ctx context.Context, wk store.Worker) {
+// announce announces a worker to the handler, with retries until accepted.
+func (sr *simulationRun) announce(ctx context.Context, wk store.Worker) {
 	ann := &jobapi.Announcement{Worker: wk}
 	go func() {
-		for ctx.Err() == nil && sg.call(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: ann}) != nil {
-			sleep(ctx, announceEvery)
+		for ctx.Err() == nil && sr.call(ctx, jobapi.Call{Kind: jobapi.Announce, Worker: ann}) != nil {
+			sleep(ctx, announceInterval)
 		}
 	}()
 }
 
-// prepare brings configuration, machines and lasting jobs in.
-func (sg *stage) prepare(ctx context.Context) error {
-	for sg.call(ctx, jobapi.Call{Kind: jobapi.PutCatalog, Catalog: sg.Load.catalog()}) != nil {
+// setUp applies the configuration, adds the machines and submits the
+// long-running jobs.
+func (sr *simulationRun) setUp(ctx context.Context) error {
+	for sr.call(ctx, jobapi.Call{Kind: jobapi.PutCatalog, Catalog: sr.Load.catalog()}) != nil {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(announceEvery)
+		time.Sleep(announceInterval)
 	}
-	room := spec.Resources{MilliCPU: int(sg.Load.Room * 1000), MemoryMB: 1 << 20}
+	capacity := spec.Resources{MilliCPU: int(sr.Load.MachineCores * 1000), MemoryMB: 1 << 20}
 	number := 0
 	add := func(pool weir.PoolName, count int) {
 		for range count {
-			sg.fleet.Add(fleet.Machine{Name: machineName(number), Pool: pool, Rack: rackName(number / sg.Load.Rack), Room: room})
+			sr.fleet.Add(fleet.Machine{Name: machineName(number), Pool: pool, Rack: rackName(number / sr.Load.MachinesPerRack), Capacity: capacity})
 			number++
 		}
 	}
-	for _, po := range sg.Load.Pools {
+	for _, po := range sr.Load.Pools {
 		add(po.Name, po.Machines)
 	}
-	add(standby, sg.Load.Standby)
-	for _, po := range sg.Load.Pools {
-		for _, jb := range po.lasting() {
-			if err := sg.call(ctx, submission(po.Name, jb)); err != nil {
+	add(standby, sr.Load.Standby)
+	for _, po := range sr.Load.Pools {
+		for _, jb := range po.newLongRunningJobs() {
+			if err := sr.call(ctx, submission(po.Name, jb)); err != nil {
 				return err
 			}
 		}
 	}
-	time.Sleep(lead)
+	time.Sleep(warmup)
 	return nil
 }
 
@@ -252,51 +255,52 @@
 	return jobapi.Call{Kind: jobapi.Submit, Host: "play", Path: "/" + string(pool) + "/" + string(jb.ID), Job: jb}
 }
 
-func (sg *stage) call(ctx context.Context, call jobapi.Call) error {
-	if rep := sg.service.Handle(ctx, call); rep.Outcome != jobapi.OK {
+func (sr *simulationRun) call(ctx context.Context, call jobapi.Call) error {
+	if rep := sr.handler.Handle(ctx, call); rep.Outcome != jobapi.OK {
 		return &Error{Op: string(call.Kind), Kind: KindRefused, Err: errors.New(rep.Reason)}
 	}
 	return nil
 }
 
-// perform submits the jobs at their times and waits for the last.
-func (sg *stage) perform(ctx context.Context) {
-	begin := sg.clock.Now()
+// runLoad submits the jobs at their times and waits completionTime after the
+// load.
+func (sr *simulationRun) runLoad(ctx context.Context) {
+	begin := sr.clock.Now()
 	var wg sync.WaitGroup
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	wg.Go(func() { sg.watch(watchCtx, begin) })
-	if sg.Policy == PolicyReactive || sg.Policy == PolicyKnown {
-		bl := &baseline{stage: sg, high: map[weir.PoolName]time.Duration{}}
+	wg.Go(func() { sr.sampleFleet(watchCtx, begin) })
+	if sr.Policy == PolicyReactive || sr.Policy == PolicyKnown {
+		bl := &baselineScaler{simulationRun: sr, lastAboveLow: map[weir.PoolName]time.Duration{}}
 		wg.Go(func() { bl.run(watchCtx, begin) })
 	}
-	for _, wv := range sg.Load.Waves {
-		wg.Go(func() { sg.wave(ctx, wv) })
+	for _, wv := range sr.Load.Waves {
+		wg.Go(func() { sr.startWave(ctx, wv) })
 	}
-	for ix, cr := range sg.Load.Crashes {
-		wg.Go(func() { sg.crash(ctx, ix, cr) })
+	for ix, cr := range sr.Load.Crashes {
+		wg.Go(func() { sr.crashMachines(ctx, ix, cr) })
 	}
-	for _, pd := range sg.jobs {
-		sleep(ctx, pd.at-sg.clock.Now().Sub(begin))
-		wg.Go(func() { _ = sg.call(ctx, submission(pd.pool.Name, pd.job)) })
+	for _, pd := range sr.jobs {
+		sleep(ctx, pd.at-sr.clock.Now().Sub(begin))
+		wg.Go(func() { _ = sr.call(ctx, submission(pd.pool.Name, pd.job)) })
 	}
-	sleep(ctx, sg.Load.Duration+finish-sg.clock.Now().Sub(begin))
+	sleep(ctx, sr.Load.Duration+completionTime-sr.clock.Now().Sub(begin))
 	stop()
 	wg.Wait()
 }
 
-// watch samples the fleet until the context ends.
-func (sg *stage) watch(ctx context.Context, begin time.Time) {
+// sampleFleet samples the fleet until the context is cancelled.
+func (sr *simulationRun) sampleFleet(ctx context.Context, begin time.Time) {
 	for ctx.Err() == nil {
-		sm := Sample{At: sg.clock.Now().Sub(begin)}
-		for _, vw := range sg.fleet.Views() {
+		sm := Sample{At: sr.clock.Now().Sub(begin)}
+		for _, vw := range sr.fleet.Statuses() {
 			if vw.Pool != standby {
-				sm.Pooled += sg.Load.Room
+				sm.Pooled += sr.Load.MachineCores
 			}
 			sm.Busy += vw.Cores
 		}
-		sg.samples = append(sg.samples, sm)
-		sleep(ctx, sampleEvery)
+		sr.samples = append(sr.samples, sm)
+		sleep(ctx, sampleInterval)
 	}
 }
 
@@ -309,23 +313,24 @@
 	}
 }
 
-// wave asks for maintenance of each machine that a share picks.
-func (sg *stage) wave(ctx context.Context, wv Wave) {
+// startWave starts maintenance of the selected machines.
+func (sr *simulationRun) startWave(ctx context.Context, wv Wave) {
 	sleep(ctx, wv.At)
-	order := &store.Wave{Number: 1, MaxParallel: wv.AtOnce, Deadline: sg.clock.Now().Add(wv.Within)}
-	for number := range sg.Load.machines() {
-		if picked(number, wv.Share) {
+	order := &store.Wave{Number: 1, MaxParallel: wv.MaxParallel, Deadline: sr.clock.Now().Add(wv.Within)}
+	for number := range sr.Load.machines() {
+		if selected(number, wv.Share) {
 			order.Machines = append(order.Machines, machineName(number))
 		}
 	}
-	_ = sg.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: order})
+	_ = sr.call(ctx, jobapi.Call{Kind: jobapi.StartWave, Wave: order})
 }
 
-func (sg *stage) crash(ctx context.Context, ix int, cr Crash) {
+// crashMachines crashes the selected machines; ix varies the selection.
+func (sr *simulationRun) crashMachines(ctx context.Context, ix int, cr Crash) {
 	sleep(ctx, cr.At)
-	for number := range sg.Load.machines() {
-		if picked(number+ix+1, cr.Share) {
-			sg.fleet.Crash(machineName(number), cr.Away)
+	for number := range sr.Load.machines() {
+		if selected(number+ix+1, cr.Share) {
+			sr.fleet.Crash(machineName(number), cr.Downtime)
 		}
 	}
 }
--- a/internal/standin/play/play_test.go
+++ b/internal/standin/play/play_test.go
@@ -11,29 +11,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulated plays a load in simulated time.
-func simulated(tb testing.TB, ld Load, policy Policy, seed int64) Result {
+// runSimulated runs a load in simulated time.
+func runSimulated(tb testing.TB, ld Load, policy Policy, seed int64) Result {
 	t, ok := tb.(*testing.T)
 	require.True(tb, ok)
 	var res Result
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		res, err = Player{Load: ld, Policy: policy, Seed: seed}.Run(context.Background())
+		res, err = Simulation{Load: ld, Policy: policy, Seed: seed}.Run(context.Background())
 		require.NoError(t, err)
 	})
 	return res
 }
 
-// TestOwnerServesAPeakThatMachinesWhereTheyAreCannot plays four pools that
-// peak in turn, a wave over half of the machines and two crashes.
-func TestOwnerServesAPeakThatMachinesWhereTheyAreCannot(t *testing.T) {
+// TestSchedulerOutperformsStaticPools runs four pools that peak in turn, with a
+// maintenance wave and two crashes. It guards against a scheduler that serves no
+// more jobs than fixed pools, loses on the cost of moves, neglects maintenance or
+// overfills workers.
+func TestSchedulerOutperformsStaticPools(t *testing.T) {
 	ld := Small().WithTrouble()
-	fixed := simulated(t, ld, PolicyStatic, 1)
-	moved := simulated(t, ld, PolicyOwner, 1)
-	require.Greater(t, moved.InTime, fixed.InTime, "more callers get their job in time")
-	require.Greater(t, moved.Worth(), fixed.Worth(), "also when machines and moves are paid for")
-	require.InDelta(t, 1, moved.WaveDone, 0, "maintenance is done")
-	require.Zero(t, moved.Counts.Refused, "no start finds a worker full")
+	fixed := runSimulated(t, ld, PolicyStatic, 1)
+	moved := runSimulated(t, ld, PolicyScheduler, 1)
+	require.Greater(t, moved.InTime, fixed.InTime, "more jobs complete in time")
+	require.Greater(t, moved.Worth(), fixed.Worth(), "worth more after the cost of machines and moves")
+	require.InDelta(t, 1, moved.WaveDone, 0, "maintenance started on every machine of the wave")
+	require.Zero(t, moved.Counts.RefusedStarts, "no start is refused for lack of capacity")
 
 	path := filepath.Join(t.TempDir(), "play.svg")
 	require.NoError(t, Plot(path, []Result{fixed, moved}))
@@ -43,16 +45,16 @@
 	var table bytes.Buffer
 	require.NoError(t, Print(&table, []Result{fixed, moved}))
 	require.Contains(t, table.String(), "smallTrouble")
-	require.Error(t, Plot(filepath.Join(t.TempDir(), "play.txt"), []Result{fixed}), "no such format")
+	require.Error(t, Plot(filepath.Join(t.TempDir(), "play.txt"), []Result{fixed}), "unknown file format")
 }
 
-func TestLoads(t *testing.T) {
+func TestNamedLoads(t *testing.T) {
 	for _, name := range LoadNames() {
 		ld, err := LoadByName(name)
 		require.NoError(t, err)
 		require.Equal(t, name, ld.Name)
-		require.Equal(t, ld.draw(7), ld.draw(7), "a seed draws the same jobs")
-		require.NotEmpty(t, ld.draw(7))
+		require.Equal(t, ld.drawJobs(7), ld.drawJobs(7), "the same seed draws the same jobs")
+		require.NotEmpty(t, ld.drawJobs(7))
 	}
 	_, err := LoadByName("none")
 	require.Error(t, err)
--- a/internal/standin/play/plot.go
+++ b/internal/standin/play/plot.go
@@ -9,14 +9,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot.
+// The size of the plot.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes a file with the cores of machines in pools and of tasks at work
-// over time, a line for each result; the file's name ends in .svg or .png.
+// Plot writes a plot of the cores in pools and the cores in use over time, two
+// lines for each result. The extension of path, .svg or .png, sets the format.
 func Plot(path string, results []Result) error {
 	pt := plot.New()
 	pt.Title.Text = "machines in pools and tasks at work"
--- a/internal/standin/play/table_test.go
+++ b/internal/standin/play/table_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPlay prints the table of all policies for the load that WEIR_PLAY names,
-// in simulated time, and writes WEIR_PLAY_PLOT where that is set.
+// TestPlay runs the load named in WEIR_PLAY under every policy in simulated time
+// and prints the table. It writes a plot to WEIR_PLAY_PLOT if set.
 func TestPlay(t *testing.T) {
 	ld, err := LoadByName(os.Getenv("WEIR_PLAY"))
 	require.NoError(t, err)
 	var results []Result
 	for _, policy := range Policies() {
 		for seed := range int64(3) {
-			results = append(results, simulated(t, ld, policy, seed+1))
+			results = append(results, runSimulated(t, ld, policy, seed+1))
 		}
 	}
 	require.NoError(t, Print(os.Stdout, results))
