--- a/internal/standin/peaks/peaks.go
+++ b/internal/standin/peaks/peaks.go
@@ -1,10 +1,11 @@
-// Package peaks measures what a fleet needs to start urgent work in time when
-// each service peaks in turn. It drives the real placement with a clock of its
-// own, through seeded demand, under several policies.
+// Package peaks measures how many instances a fleet needs to start urgent
+// requests in time when the demand of its services peaks at different times. It
+// drives the real placement with a manual clock and seeded demand, and compares
+// several policies.
 //
 // Usage:
 //
-//	out := peaks.Run(peaks.Fleet{Own: 3, Spare: 9}, peaks.Lending, peaks.Turns(40, 1))
+//	out := peaks.Run(peaks.Fleet{PerPool: 3, Spare: 9}, peaks.Lending, peaks.Rotating(40, 1))
 //	fmt.Println(out.InTime, out.Idle, out.Moves)
 package peaks
 
@@ -23,183 +24,189 @@
 	"greengageweir/internal/fleet/view"
 )
 
-// Policy is how a fleet meets a peak.
+// Policy decides how a fleet handles a peak.
 type Policy string
 
-// The policies; the first two are baselines.
+// The policies. The first two are baselines.
 const (
-	// Static pools keep their instances.
+	// Static keeps every instance in its pool.
 	Static Policy = "static pools"
-	// Reactive moves instances from the idlest pool to one that is over its
-	// threshold.
+	// Reactive moves instances from the least loaded pool to a pool above the
+	// load threshold.
 	Reactive Policy = "reactive threshold"
-	// Lending lets the spare pool's free slots serve any service.
+	// Lending lets any service use the free slots of the spare pool.
 	Lending Policy = "spare pool lends"
-	// LendingAll marks every pool as spare.
+	// LendingAll lets any service use the free slots of every pool.
 	LendingAll Policy = "all pools lend"
 )
 
 const (
-	services    = 5
-	slots       = 8
-	meanWork    = 500 * time.Millisecond
-	startWithin = 2500 * time.Millisecond
-	step        = 10 * time.Millisecond
-	length      = 120 * time.Second
-
-	reactEvery = time.Second
+	serviceCount     = 5
+	slotsPerInstance = 8
+	meanWork         = 500 * time.Millisecond
+	startDeadline    = 2500 * time.Millisecond
+	tickInterval     = 10 * time.Millisecond
+	duration         = 120 * time.Second
+
+	reactInterval = time.Second
 	// moveTime is how long an instance is out of service while it moves.
-	moveTime  = 2 * time.Second
-	busyAbove = 0.8
-	idleBelow = 0.4
-	// movesAtOnce bounds the instances that one reaction moves.
-	movesAtOnce = 4
+	moveTime = 2 * time.Second
+	highLoad = 0.8
+	lowLoad  = 0.4
+	// maxMovesPerReaction limits the instances moved to a pool at a time.
+	maxMovesPerReaction = 4
 )
 
-// Fleet is the number of instances in each ordinary pool and in the spare.
+// Fleet holds the sizes of the pools.
 type Fleet struct {
-	Own   int
-	Spare int
-	// Keep is how many instances the reactive policy leaves in a pool.
-	Keep int
+	// PerPool is the number of instances in each ordinary pool, Spare that in
+	// the spare pool.
+	PerPool int
+	Spare   int
+	// MinPerPool is how many instances the reactive policy leaves in a pool, at
+	// least 1.
+	MinPerPool int
 }
 
 // Size returns the number of instances.
-func (fl Fleet) Size() int { return fl.Own*(services-1) + fl.Spare }
+func (fl Fleet) Size() int { return fl.PerPool*(serviceCount-1) + fl.Spare }
 
-// Demand returns the arrivals a second of a service at a time.
+// Demand is a named trace. Rate returns the arrivals per second of a service at a
+// time.
 type Demand struct {
 	Name string
 	Seed int64
 	Rate func(service int, at time.Duration) float64
 }
 
-// Outcome is what a run showed.
+// Outcome is the result of a run.
 type Outcome struct {
 	// InTime is the share of requests that started within 2.5 s.
 	InTime float64
-	// AtOnce is the share that did not wait.
-	AtOnce float64
-	// Idle is the mean number of idle instances: the buffer.
+	// Immediate is the share of requests that started without waiting.
+	Immediate float64
+	// Idle and Busy are the mean numbers of idle and of busy instances.
 	Idle  float64
 	Busy  float64
 	Moves int
 }
 
-const turn = 4 * time.Second
+const peakLength = 4 * time.Second
 
-// Turns lets each service ask for five times its mean for four seconds in
-// turn, and for a twentieth of it in between.
-func Turns(mean float64, seed int64) Demand {
+// Rotating returns a demand in which the services peak one after the other, at
+// five times the mean for four seconds, and need a twentieth of the mean
+// otherwise.
+func Rotating(mean float64, seed int64) Demand {
 	return Demand{Name: "peaks in turn", Seed: seed, Rate: func(service int, at time.Duration) float64 {
-		if int(at/turn)%services == service {
+		if int(at/peakLength)%serviceCount == service {
 			return 5 * mean
 		}
 		return mean / 20
 	}}
 }
 
-// Broken breaks the pattern: who peaks next is random, and in one turn of
-// eight two services peak at once.
-func Broken(mean float64, seed int64) Demand {
+// Random returns a demand without a pattern: the service that peaks next is
+// random, and in one of eight peaks a second service may peak as well.
+func Random(mean float64, seed int64) Demand {
 	rng := rand.New(rand.NewSource(seed)) //nolint:gosec // a seeded trace
-	count := int(length/turn) + 1
+	count := int(duration/peakLength) + 1
 	first, second := make([]int, count), make([]int, count)
 	for ix := range first {
-		first[ix], second[ix] = rng.Intn(services), -1
+		first[ix], second[ix] = rng.Intn(serviceCount), -1
 		if rng.Intn(8) == 0 {
-			second[ix] = rng.Intn(services)
+			second[ix] = rng.Intn(serviceCount)
 		}
 	}
 	return Demand{Name: "pattern broken", Seed: seed, Rate: func(service int, at time.Duration) float64 {
-		if ix := int(at / turn); first[ix] == service || second[ix] == service {
+		if ix := int(at / peakLength); first[ix] == service || second[ix] == service {
 			return 5 * mean
 		}
 		return mean / 20
 	}}
 }
 
-// job is a request that waits or runs.
-type job struct {
+// queuedRequest is a request that is waiting or running.
+type queuedRequest struct {
 	req     *weir.Request
 	arrived time.Duration
 	ends    time.Duration
 	slot    *placement.Slot
 }
 
-type running []*job
+// runHeap orders running requests by their end.
+type runHeap []*queuedRequest
 
 // Len implements heap.Interface.
-func (ru running) Len() int { return len(ru) }
+func (ru runHeap) Len() int { return len(ru) }
 
 // Less implements heap.Interface.
-func (ru running) Less(a, b int) bool { return ru[a].ends < ru[b].ends }
+func (ru runHeap) Less(a, b int) bool { return ru[a].ends < ru[b].ends }
 
 // Swap implements heap.Interface.
-func (ru running) Swap(a, b int) { ru[a], ru[b] = ru[b], ru[a] }
+func (ru runHeap) Swap(a, b int) { ru[a], ru[b] = ru[b], ru[a] }
 
 // Push implements heap.Interface.
-func (ru *running) Push(val any) { *ru = append(*ru, val.(*job)) }
+func (ru *runHeap) Push(val any) { *ru = append(*ru, val.(*queuedRequest)) }
 
 // Pop implements heap.Interface.
-func (ru *running) Pop() any {
+func (ru *runHeap) Pop() any {
 	old := *ru
 	last := old[len(old)-1]
 	*ru = old[:len(old)-1]
 	return last
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
-	clk     *clock.Manual
-	tb      *placement.Table
-	vw      view.View
-	policy  Policy
-	demand  Demand
-	rng     *rand.Rand
-	at      time.Duration
-	queues  [services][]*job
-	busy    [services]int
-	running running
-	moving  map[weir.InstanceID]arrival
-	keep    int
-
-	started, inTime, atOnce, moves int
-	busySum                        float64
+	clk        *clock.Manual
+	tb         *placement.Table
+	vw         view.View
+	policy     Policy
+	demand     Demand
+	rng        *rand.Rand
+	at         time.Duration
+	queues     [serviceCount][]*queuedRequest
+	busy       [serviceCount]int
+	running    runHeap
+	moving     map[weir.InstanceID]pendingMove
+	minPerPool int
+
+	started, inTime, immediate, moves int
+	busySum                           float64
 }
 
-// arrival is when a moving instance reaches its new pool.
-type arrival struct {
+// pendingMove is the arrival time and the new pool of a moving instance.
+type pendingMove struct {
 	at time.Duration
 	to weir.PoolName
 }
 
-// Run measures a fleet under a policy and demand.
+// Run simulates a fleet under a policy and a demand.
 func Run(fl Fleet, policy Policy, demand Demand) Outcome {
 	sm := &simulation{
 		clk: clock.NewManual(time.Unix(1_800_000_000, 0)), policy: policy, demand: demand,
-		rng: rand.New(rand.NewSource(demand.Seed)), moving: map[weir.InstanceID]arrival{}, //nolint:gosec // a seeded run
+		rng: rand.New(rand.NewSource(demand.Seed)), moving: map[weir.InstanceID]pendingMove{}, //nolint:gosec // a seeded run
 	}
-	sm.keep = max(fl.Keep, 1)
+	sm.minPerPool = max(fl.MinPerPool, 1)
 	sm.build(fl)
-	for ; sm.at < length; sm.at += step {
+	for ; sm.at < duration; sm.at += tickInterval {
 		sm.tick()
 	}
-	ticks := float64(length / step)
-	total := float64(sm.started + sm.late())
-	busy := sm.busySum / ticks / slots
+	ticks := float64(duration / tickInterval)
+	total := float64(sm.started + sm.countLate())
+	busy := sm.busySum / ticks / slotsPerInstance
 	return Outcome{
-		InTime: float64(sm.inTime) / total, AtOnce: float64(sm.atOnce) / total,
+		InTime: float64(sm.inTime) / total, Immediate: float64(sm.immediate) / total,
 		Busy: busy, Idle: float64(fl.Size()) - busy, Moves: sm.moves,
 	}
 }
 
-// late counts the requests that wait at the end and are too late already.
-func (sm *simulation) late() int {
+// countLate counts the requests still queued beyond the start deadline.
+func (sm *simulation) countLate() int {
 	count := 0
 	for _, queue := range sm.queues {
 		for _, jb := range queue {
-			if sm.at-jb.arrived > startWithin {
+			if sm.at-jb.arrived > startDeadline {
 				count++
 			}
 		}
@@ -212,16 +219,16 @@
 func (sm *simulation) build(fl Fleet) {
 	sm.vw = view.View{Index: 1, Members: map[weir.InstanceID]view.Member{}}
 	cfg := model.Config{
-		Limits:   model.Limits{SlotsPerInstance: slots, ConnectionsPerInstance: 64},
+		Limits:   model.Limits{SlotsPerInstance: slotsPerInstance, ConnectionsPerInstance: 64},
 		Services: map[weir.ServiceName]model.Service{}, Pools: map[weir.PoolName]model.Pool{},
 	}
-	for service := range services {
+	for service := range serviceCount {
 		name := weir.ServiceName(poolName(service))
-		spare := sm.policy == LendingAll || (sm.policy == Lending && service == services-1)
+		spare := sm.policy == LendingAll || (sm.policy == Lending && service == serviceCount-1)
 		cfg.Services[name] = model.Service{Name: name, QueueLength: math.MaxInt32}
 		cfg.Pools[poolName(service)] = model.Pool{Name: poolName(service), Service: name, Spare: spare}
-		size := fl.Own
-		if service == services-1 {
+		size := fl.PerPool
+		if service == serviceCount-1 {
 			size = fl.Spare
 		}
 		for ix := range size {
@@ -242,21 +249,21 @@
 }
 
 func (sm *simulation) tick() {
-	sm.clk.Advance(step)
+	sm.clk.Advance(tickInterval)
 	if sm.at%time.Second == 0 {
 		sm.announce()
 	}
 	for len(sm.running) > 0 && sm.running[0].ends <= sm.at {
-		done, _ := heap.Pop(&sm.running).(*job)
+		done, _ := heap.Pop(&sm.running).(*queuedRequest)
 		done.slot.Release(placement.Succeeded)
 		sm.busy[serviceOf(done.req)]--
 	}
 	if sm.policy == Reactive {
 		sm.react()
 	}
-	for service := range services {
-		sm.arrive(service)
-		sm.start(service)
+	for service := range serviceCount {
+		sm.addArrivals(service)
+		sm.startRequests(service)
 	}
 	for _, busy := range sm.busy {
 		sm.busySum += float64(busy)
@@ -269,17 +276,19 @@
 	return service
 }
 
-// arrive adds the arrivals of one step, a Poisson number of them.
-func (sm *simulation) arrive(service int) {
-	mean := sm.demand.Rate(service, sm.at) * step.Seconds()
+// addArrivals queues the requests that arrive during one tick, a
+// Poisson-distributed number.
+func (sm *simulation) addArrivals(service int) {
+	mean := sm.demand.Rate(service, sm.at) * tickInterval.Seconds()
 	for chance := sm.rng.ExpFloat64(); chance < mean; chance += sm.rng.ExpFloat64() {
-		sm.queues[service] = append(sm.queues[service], &job{arrived: sm.at, req: &weir.Request{
+		sm.queues[service] = append(sm.queues[service], &queuedRequest{arrived: sm.at, req: &weir.Request{
 			Service: weir.ServiceName(poolName(service)), Class: weir.Urgent, Deadline: sm.clk.Now().Add(time.Hour),
 		}})
 	}
 }
 
-func (sm *simulation) start(service int) {
+// startRequests starts queued requests in order until no slot is free.
+func (sm *simulation) startRequests(service int) {
 	for len(sm.queues[service]) > 0 {
 		next := sm.queues[service][0]
 		slot, err := sm.tb.TryAcquire(next.req)
@@ -292,10 +301,10 @@
 		heap.Push(&sm.running, next)
 		sm.busy[service]++
 		sm.started++
-		if wait := sm.at - next.arrived; wait <= startWithin {
+		if wait := sm.at - next.arrived; wait <= startDeadline {
 			sm.inTime++
 			if wait == 0 {
-				sm.atOnce++
+				sm.immediate++
 			}
 		}
 	}
--- a/internal/standin/peaks/reactive.go
+++ b/internal/standin/peaks/reactive.go
@@ -8,14 +8,14 @@
 	"greengageweir/internal/fleet/view"
 )
 
-// react is the baseline that moves instances when a pool is over its
-// threshold, as an autoscaler without foresight does.
+// react moves instances to pools above the load threshold, as an autoscaler
+// without a forecast does.
 func (sm *simulation) react() {
-	changed := sm.land()
-	if sm.at%reactEvery == 0 {
-		for service := range services {
-			if sm.load(service) > busyAbove {
-				changed = sm.moveTo(service) || changed
+	changed := sm.completeMoves()
+	if sm.at%reactInterval == 0 {
+		for service := range serviceCount {
+			if sm.load(service) > highLoad {
+				changed = sm.moveInstancesTo(service) || changed
 			}
 		}
 	}
@@ -25,8 +25,9 @@
 	}
 }
 
-// land ends the moves whose time is over.
-func (sm *simulation) land() bool {
+// completeMoves puts instances whose move has ended into service. It reports
+// whether there were any.
+func (sm *simulation) completeMoves() bool {
 	landed := false
 	for id, arr := range sm.moving {
 		if sm.at < arr.at {
@@ -45,15 +46,16 @@
 	sm.vw.Members = members
 }
 
-// load is the share of a pool's slots in use; waiting requests count too.
+// load returns the running and queued requests of a service per slot of its pool.
 func (sm *simulation) load(service int) float64 {
 	size := len(sm.pool(service))
 	if size == 0 {
 		return 1
 	}
-	return float64(sm.busy[service]+len(sm.queues[service])) / float64(size*slots)
+	return float64(sm.busy[service]+len(sm.queues[service])) / float64(size*slotsPerInstance)
 }
 
+// pool returns the serving instances of a pool in order of their names.
 func (sm *simulation) pool(service int) []weir.InstanceID {
 	var ids []weir.InstanceID
 	for id, mem := range sm.vw.Members {
@@ -65,13 +67,14 @@
 	return ids
 }
 
-// moveTo takes instances from the idlest pools, each of which keeps some.
-func (sm *simulation) moveTo(service int) bool {
+// moveInstancesTo moves instances from the least loaded pools, each of which
+// keeps minPerPool. It reports whether any was moved.
+func (sm *simulation) moveInstancesTo(service int) bool {
 	moved := false
-	for range movesAtOnce {
-		from, lowest := -1, idleBelow
-		for other := range services {
-			if load := sm.load(other); other != service && load < lowest && len(sm.pool(other)) > sm.keep {
+	for range maxMovesPerReaction {
+		from, lowest := -1, lowLoad
+		for other := range serviceCount {
+			if load := sm.load(other); other != service && load < lowest && len(sm.pool(other)) > sm.minPerPool {
 				from, lowest = other, load
 			}
 		}
@@ -80,7 +83,7 @@
 		}
 		id := sm.pool(from)[0]
 		sm.setMember(view.Member{Instance: id, Pool: poolName(from), Phase: view.Draining})
-		sm.moving[id] = arrival{at: sm.at + moveTime, to: poolName(service)}
+		sm.moving[id] = pendingMove{at: sm.at + moveTime, to: poolName(service)}
 		sm.moves++
 		moved = true
 	}
--- a/internal/standin/peaks/table.go
+++ b/internal/standin/peaks/table.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// enough is the share of requests that must start in time.
-	enough = 0.999
-	// meanRate is the mean arrivals a second of each service: a peak of 200 a
-	// second needs 100 slots, more than a pool of ten holds.
-	meanRate = 40
-	maxOwn   = 16
-	maxSpare = 24
-	seeds    = 3
-	// todayPool is the size of each pool today.
-	todayPool = 10
+	// requiredInTime is the share of requests that must start in time.
+	requiredInTime = 0.999
+	// meanRate is the mean arrival rate of a service, per second. A peak of 200
+	// a second needs 100 slots, more than a pool of ten instances has.
+	meanRate   = 40
+	maxPerPool = 16
+	maxSpare   = 24
+	seeds      = 3
+	// currentPoolSize is the present number of instances in each pool.
+	currentPoolSize = 10
 )
 
-// Smallest returns the smallest fleet that starts enough requests in time
-// under every seed, and its worst outcome.
-func Smallest(policy Policy, demand func(mean float64, seed int64) Demand) (Fleet, Outcome) {
-	for size := services; size <= maxOwn*services; size++ {
-		for _, fl := range fleetsOf(size, policy) {
-			if out, ok := worst(fl, policy, demand); ok {
+// SmallestFleet returns the smallest fleet that starts enough requests in time
+// under every seed, and its worst outcome, or zero values if there is none.
+func SmallestFleet(policy Policy, demand func(mean float64, seed int64) Demand) (Fleet, Outcome) {
+	for size := serviceCount; size <= maxPerPool*serviceCount; size++ {
+		for _, fl := range candidateFleets(size, policy) {
+			if out, ok := worstOutcome(fl, policy, demand); ok {
 				return fl, out
 			}
 		}
@@ -32,32 +32,35 @@
 	return Fleet{}, Outcome{}
 }
 
-// fleetsOf returns the fleets of a size. Baselines have equal pools; with a
-// spare pool, any split is tried, and for the reactive one several floors.
-func fleetsOf(size int, policy Policy) []Fleet {
+// candidateFleets returns the fleets to try for a total size. Pools are of equal
+// size, except that Lending tries every size of the spare pool. Reactive tries
+// several values of MinPerPool.
+func candidateFleets(size int, policy Policy) []Fleet {
 	var list []Fleet
-	for own := 1; own <= maxOwn; own++ {
-		spare := size - own*(services-1)
+	for own := 1; own <= maxPerPool; own++ {
+		spare := size - own*(serviceCount-1)
 		equal := spare == own
 		if spare < 1 || spare > maxSpare || (policy != Lending && !equal) {
 			continue
 		}
 		if policy != Reactive {
-			list = append(list, Fleet{Own: own, Spare: spare})
+			list = append(list, Fleet{PerPool: own, Spare: spare})
 			continue
 		}
 		for _, keep := range []int{own / 4, own / 2, own * 3 / 4, own - 1} {
-			list = append(list, Fleet{Own: own, Spare: spare, Keep: keep})
+			list = append(list, Fleet{PerPool: own, Spare: spare, MinPerPool: keep})
 		}
 	}
 	return list
 }
 
-func worst(fl Fleet, policy Policy, demand func(mean float64, seed int64) Demand) (Outcome, bool) {
+// worstOutcome runs all seeds and returns the outcome with the lowest InTime. It
+// stops and returns false at the first seed with too few requests in time.
+func worstOutcome(fl Fleet, policy Policy, demand func(mean float64, seed int64) Demand) (Outcome, bool) {
 	low := Outcome{InTime: 1}
 	for seed := range int64(seeds) {
 		out := Run(fl, policy, demand(meanRate, seed+1))
-		if out.InTime < enough {
+		if out.InTime < requiredInTime {
 			return out, false
 		}
 		if out.InTime <= low.InTime {
@@ -67,25 +70,27 @@
 	return low, true
 }
 
-// LowerBound is the mean of busy instances: no policy needs fewer.
-func LowerBound() float64 { return 5.2 * meanRate * meanWork.Seconds() / slots }
+// LowerBound returns the mean number of busy instances with peaks in turn. No
+// policy needs fewer.
+func LowerBound() float64 { return 5.2 * meanRate * meanWork.Seconds() / slotsPerInstance }
 
-// Print writes the table of all policies and demands.
+// Print writes the table of all policies and demands, and that of the present
+// fleet.
 func Print(wr io.Writer) {
 	tab := tabwriter.NewWriter(wr, 0, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tab, "demand\tpolicy\tinstances needed\tother pools, spare\tidle (buffer)\tstarted in 2.5 s\tat once\tmoves in 120 s")
-	for _, dm := range []func(float64, int64) Demand{Turns, Broken} {
+	for _, dm := range []func(float64, int64) Demand{Rotating, Random} {
 		for _, policy := range []Policy{Static, Reactive, Lending, LendingAll} {
-			fl, out := Smallest(policy, dm)
+			fl, out := SmallestFleet(policy, dm)
 			_, _ = fmt.Fprintf(tab, "%s\t%s\t%d\t%d, %d\t%.1f\t%.2f%%\t%.1f%%\t%d\n",
-				dm(1, 1).Name, policy, fl.Size(), fl.Own, fl.Spare, out.Idle, 100*out.InTime, 100*out.AtOnce, out.Moves)
+				dm(1, 1).Name, policy, fl.Size(), fl.PerPool, fl.Spare, out.Idle, 100*out.InTime, 100*out.Immediate, out.Moves)
 		}
 	}
-	today := Fleet{Own: todayPool, Spare: todayPool, Keep: todayPool / 2}
+	today := Fleet{PerPool: currentPoolSize, Spare: currentPoolSize, MinPerPool: currentPoolSize / 2}
 	for _, policy := range []Policy{Static, Reactive, Lending, LendingAll} {
-		out := Run(today, policy, Turns(meanRate, 1))
+		out := Run(today, policy, Rotating(meanRate, 1))
 		_, _ = fmt.Fprintf(tab, "peaks in turn, fleet of today\t%s\t%d\t%d, %d\t%.1f\t%.2f%%\t%.1f%%\t%d\n",
-			policy, today.Size(), today.Own, today.Spare, out.Idle, 100*out.InTime, 100*out.AtOnce, out.Moves)
+			policy, today.Size(), today.PerPool, today.Spare, out.Idle, 100*out.InTime, 100*out.Immediate, out.Moves)
 	}
 	_ = tab.Flush()
 	_, _ = fmt.Fprintf(wr, "busy on average with peaks in turn: %.1f instances, below which no policy can go; seeds 1 to %d, worst shown\n", LowerBound(), seeds)
