--- a/internal/standin/slopes/fit.go
+++ b/internal/standin/slopes/fit.go
@@ -1,12 +1,12 @@
 // Package slopes measures how the cost of each mechanism grows with the size
-// that drives it, on the real code in one process, and fits a line to each.
-// Where a server is measured over loopback, the client's cost is included, so
-// that the figures are upper bounds.
+// that drives it, and fits a line to each series. It runs the real code in one
+// process. Figures of servers are upper bounds: they are measured over loopback
+// and include the cost of the client.
 //
 // Usage:
 //
-//	rep := slopes.Measure(clk, os.Stderr)
-//	rep.Write("docs/slopes.json")
+//	rep, err := slopes.Measure(clk, os.Stderr)
+//	err = rep.Write("docs/slopes.json")
 package slopes
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/pkg/errors"
 )
 
-// Point is one measured value: the median of several rounds.
+// Point is one measured value: the median, lowest and highest of several rounds.
 type Point struct {
 	Size   float64 `json:"size"`
 	Value  float64 `json:"value"`
@@ -31,10 +31,10 @@
 	Rounds int     `json:"rounds"`
 }
 
-// Slope is a series with the line fitted to it by least squares.
+// Slope is a series of points with the line fitted to it by least squares.
 type Slope struct {
 	Name string `json:"name"`
-	// Per is what the size counts, Unit what the value is.
+	// Per is the unit of the size, Unit that of the value.
 	Per    string  `json:"per"`
 	Unit   string  `json:"unit"`
 	Points []Point `json:"points"`
@@ -45,7 +45,7 @@
 	Residual float64 `json:"residual"`
 }
 
-// Report is a whole run.
+// Report holds the results of one run and the machine it ran on.
 type Report struct {
 	Machine string  `json:"machine"`
 	Slopes  []Slope `json:"slopes"`
@@ -54,14 +54,14 @@
 // At returns the value of the line at a size.
 func (sl Slope) At(size float64) float64 { return sl.Base + sl.Slope*size }
 
-// Get returns the slope with a name.
+// Get returns the slope with a name, or an error if there is none.
 func (rp Report) Get(name string) (Slope, error) {
 	for _, sl := range rp.Slopes {
 		if sl.Name == name {
 			return sl, nil
 		}
 	}
-	return Slope{}, errors.Errorf("no slope is named %s", name)
+	return Slope{}, errors.Errorf("no slope named %q", name)
 }
 
 // Write stores the report as JSON.
@@ -70,10 +70,10 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, append(body, '\n'), 0o644) //nolint:gosec // a page of the docs
+	return os.WriteFile(path, append(body, '\n'), 0o644) //nolint:gosec // a file of the documentation
 }
 
-// Read loads a report.
+// Read loads a report from a JSON file.
 func Read(path string) (Report, error) {
 	var rep Report
 	body, err := os.ReadFile(path) //nolint:gosec // path from a flag or test
@@ -83,7 +83,8 @@
 	return rep, json.Unmarshal(body, &rep)
 }
 
-func fit(sl Slope) Slope {
+// fitLine fits a line to the points by least squares.
+func fitLine(sl Slope) Slope {
 	var sumX, sumY, sumXX, sumXY float64
 	count := float64(len(sl.Points))
 	for _, pt := range sl.Points {
@@ -111,8 +112,8 @@
 // rounds is how often each point is measured.
 const rounds = 5
 
-// series measures a value at several sizes and fits a line.
-func series(name, per, unit string, sizes []int, measure func(size int) float64) Slope {
+// measureSeries measures a value at several sizes and fits a line to it.
+func measureSeries(name, per, unit string, sizes []int, measure func(size int) float64) Slope {
 	sl := Slope{Name: name, Per: per, Unit: unit}
 	for _, size := range sizes {
 		vals := make([]float64, 0, rounds)
@@ -124,11 +125,11 @@
 			Size: float64(size), Value: vals[rounds/2], Low: vals[0], High: vals[rounds-1], Rounds: rounds,
 		})
 	}
-	return fit(sl)
+	return fitLine(sl)
 }
 
-// cpuTime returns the processor time that this process has used.
-func cpuTime() time.Duration {
+// processCPUTime returns the user and system CPU time of this process.
+func processCPUTime() time.Duration {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
 		return 0
@@ -136,21 +137,21 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// cpuMicros returns the processor microseconds that each of count calls takes.
+// cpuMicros runs work and returns its CPU microseconds divided by count.
 func cpuMicros(count int, work func()) float64 {
-	begin := cpuTime()
+	begin := processCPUTime()
 	work()
-	return float64((cpuTime() - begin).Microseconds()) / float64(count)
+	return float64((processCPUTime() - begin).Microseconds()) / float64(count)
 }
 
-// heapBytes returns the bytes in use on the heap that build's result keeps.
+// heapBytes returns the result of build and the heap bytes that it retains.
 func heapBytes[T any](build func() T) (kept T, size float64) {
-	before := heapNow()
+	before := heapInUse()
 	kept = build()
-	return kept, float64(heapNow()) - float64(before)
+	return kept, float64(heapInUse()) - float64(before)
 }
 
-func heapNow() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var mem runtime.MemStats
@@ -158,4 +159,4 @@
 	return mem.HeapAlloc
 }
 
-func machine() string { return fmt.Sprintf("%d cores, %s", runtime.NumCPU(), runtime.Version()) }
+func machineInfo() string { return fmt.Sprintf("%d cores, %s", runtime.NumCPU(), runtime.Version()) }
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -21,7 +21,7 @@
 	zones = 15
 )
 
-// The sizes at which mechanisms are measured.
+// The sizes at which the mechanisms are measured.
 var (
 	workerSizes   = []int{50, 500, 5000, 25_000}
 	listenerSizes = []int{1, 4, 13, 26, 52}
@@ -29,16 +29,16 @@
 	keySizes      = []int{1000, 20_000, 100_000}
 )
 
-// Measure runs all measurements.
+// Measure runs all measurements and writes a line for each to progress.
 func Measure(clk weir.Clock, progress io.Writer) (Report, error) {
-	rep := Report{Machine: machine()}
+	rep := Report{Machine: machineInfo()}
 	ms := &measurer{clk: clk}
 	steps := []func() Slope{
 		ms.announceCPU, ms.announceBytes, ms.entryHeap, ms.sweepCPU,
 		ms.stateHeap, ms.snapshotBytes, ms.snapshotMillis, ms.reconcileMicros, ms.viewBytes,
 		ms.changeMicros, ms.changeBytes, ms.statusMicros, ms.usageMicros,
-		ms.feedMicros, ms.feedMillis, ms.replayMillis, ms.appendMillis,
-		ms.keyBytes, ms.reserveMicros, ms.advertBytes,
+		ms.rolloutMicros, ms.rolloutMillis, ms.replayMillis, ms.appendMillis,
+		ms.ledgerHeap, ms.reserveMicros, ms.advertBytes,
 	}
 	for _, step := range steps {
 		sl := step()
@@ -51,7 +51,8 @@
 	return rep, nil
 }
 
-// measurer holds the first error, so that each measurement reads plainly.
+// measurer runs the measurements and keeps the first error, so that they need no
+// error handling of their own.
 type measurer struct {
 	clk weir.Clock
 	err error
@@ -63,8 +64,8 @@
 	}
 }
 
-// config returns a fleet of a size.
-func config(size int) model.Config {
+// fleetConfig returns a configuration with size instances.
+func fleetConfig(size int) model.Config {
 	cfg := model.Config{
 		Name: "slopes", Limits: model.Limits{SlotsPerInstance: 8, ConnectionsPerInstance: 64},
 		Sites: map[weir.Zone]model.Site{}, Services: map[weir.ServiceName]model.Service{},
@@ -85,7 +86,7 @@
 		cfg.Teams[name] = model.Team{Name: name, QuotaSlots: 64}
 	}
 	for ix := range size {
-		id := instance(ix)
+		id := instanceName(ix)
 		cfg.Instances[id] = model.Instance{
 			Name: id, Zone: weir.Zone(fmt.Sprintf("zone-%02d", ix%zones)), Rack: fmt.Sprintf("rack-%04d", ix/4),
 			Pool: weir.PoolName(fmt.Sprintf("pool-%02d", ix%pools)), Cores: 64, MemoryMiB: 131072, Accelerators: ix % 3,
@@ -94,12 +95,12 @@
 	return cfg
 }
 
-func instance(ix int) weir.InstanceID { return weir.InstanceID(fmt.Sprintf("instance-%05d", ix)) }
+func instanceName(ix int) weir.InstanceID { return weir.InstanceID(fmt.Sprintf("instance-%05d", ix)) }
 
-// fleetOf returns a machine with a fleet of a size, all instances up.
-func (ms *measurer) fleetOf(size int, publish func(view.Effect)) *fleet.Machine {
+// newFleet returns a state machine that holds size instances, all up.
+func (ms *measurer) newFleet(size int, publish func(view.Effect)) *fleet.Machine {
 	mc := fleet.New(publish, nil)
-	ms.apply(mc, 1, command.Command{Config: &command.ConfigApply{Delta: model.Diff(model.Config{}, config(size))}})
+	ms.apply(mc, 1, command.Command{Config: &command.ConfigApply{Delta: model.Diff(model.Config{}, fleetConfig(size))}})
 	ms.apply(mc, 2, command.Command{Status: &command.StatusBatch{Items: statuses(size)}})
 	return mc
 }
@@ -114,23 +115,25 @@
 	}
 }
 
+// statuses returns reports of size instances that are up.
 func statuses(size int) []command.Status {
 	list := make([]command.Status, 0, size)
 	for ix := range size {
-		list = append(list, command.Status{Instance: instance(ix), Incarnation: 1, Epoch: 1, Up: true, Entry: fmt.Sprintf("entry-%02d", ix%45)})
+		list = append(list, command.Status{Instance: instanceName(ix), Incarnation: 1, Epoch: 1, Up: true, Entry: fmt.Sprintf("entry-%02d", ix%45)})
 	}
 	return list
 }
 
-func (ms *measurer) tableOf(size int) *placement.Table {
+// newTable returns a placement table with the view of size instances.
+func (ms *measurer) newTable(size int) *placement.Table {
 	tb := placement.New(ms.clk, "zone-00")
-	tb.SetView(ms.fleetOf(size, nil).View())
+	tb.SetView(ms.newFleet(size, nil).View())
 	return tb
 }
 
-func announcementOf(ix int) endpoint.Announcement {
+func newAnnouncement(ix int) endpoint.Announcement {
 	return endpoint.Announcement{
-		Instance: instance(ix), Lease: endpoint.Lease{Incarnation: 1_800_000_000_000, Epoch: 3}, Address: "127.0.0.1:30000",
+		Instance: instanceName(ix), Lease: endpoint.Lease{Incarnation: 1_800_000_000_000, Epoch: 3}, Address: "127.0.0.1:30000",
 		Zone: "zone-00", Rack: "rack-0001", State: endpoint.Serving, InFlight: 3,
 	}
 }
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -16,27 +16,27 @@
 	"greengageweir/internal/standin/worker"
 )
 
-// serveAnnouncements starts the endpoints' server of an entry instance with a
-// fleet of a size, and a client of it.
+// serveAnnouncements starts the announcement server of an entry instance for size
+// instances and returns a client of it.
 func (ms *measurer) serveAnnouncements(size int) (client *worker.Announcer, stop context.CancelFunc) {
-	an := &serve.AnnouncementServer{Addr: "127.0.0.1:0", Table: ms.tableOf(size)}
+	an := &serve.AnnouncementServer{Addr: "127.0.0.1:0", Table: ms.newTable(size)}
 	ms.check(an.Default())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = an.Run(ctx) }()
 	return worker.NewAnnouncer(an.Address()), cancel
 }
 
-// announce sends announcements of as many workers as there are, in turn.
+// announce sends count announcements, of each worker in turn.
 func (ms *measurer) announce(client *worker.Announcer, workers, count int) {
 	for ix := range count {
-		_, err := client.Announce(context.Background(), announcementOf(ix%workers))
+		_, err := client.Announce(context.Background(), newAnnouncement(ix%workers))
 		ms.check(err)
 	}
 }
 
-// announceCPU sends announcements over HTTP; both ends are counted.
+// announceCPU measures announcements over HTTP, with the CPU time of both ends.
 func (ms *measurer) announceCPU() Slope {
-	return series("announcement CPU, both ends", "announced worker", "us each", workerSizes, func(size int) float64 {
+	return measureSeries("announcement CPU, both ends", "announced worker", "us each", workerSizes, func(size int) float64 {
 		client, stop := ms.serveAnnouncements(size)
 		defer stop()
 		count := max(size, 2000)
@@ -46,9 +46,10 @@
 	})
 }
 
-// announceBytes counts both directions of one announcement on the wire.
+// announceBytes measures the bytes of one announcement in both directions,
+// TCP payload only.
 func (ms *measurer) announceBytes() Slope {
-	return series("announcement bytes, both directions", "announced worker", "bytes each", []int{50, 5000}, func(size int) float64 {
+	return measureSeries("announcement bytes, both directions", "announced worker", "bytes each", []int{50, 5000}, func(size int) float64 {
 		client, stop := ms.serveAnnouncements(size)
 		defer stop()
 		const count = 200
@@ -58,11 +59,11 @@
 }
 
 func (ms *measurer) entryHeap() Slope {
-	return series("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
+	return measureSeries("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
 		tb, heap := heapBytes(func() *placement.Table {
-			tb := ms.tableOf(size)
+			tb := ms.newTable(size)
 			for ix := range size {
-				tb.Announce(announcementOf(ix))
+				tb.Announce(newAnnouncement(ix))
 			}
 			return tb
 		})
@@ -72,10 +73,10 @@
 }
 
 func (ms *measurer) sweepCPU() Slope {
-	return series("entry sweep of leases", "announced worker", "us a sweep", workerSizes, func(size int) float64 {
-		tb := ms.tableOf(size)
+	return measureSeries("entry sweep of leases", "announced worker", "us a sweep", workerSizes, func(size int) float64 {
+		tb := ms.newTable(size)
 		for ix := range size {
-			tb.Announce(announcementOf(ix))
+			tb.Announce(newAnnouncement(ix))
 		}
 		const count = 20
 		return cpuMicros(count, func() {
@@ -86,7 +87,8 @@
 	})
 }
 
-func (ms *measurer) storeWith(count int) *ledger.Store {
+// newLedger returns a ledger with count finished keys.
+func (ms *measurer) newLedger(count int) *ledger.Store {
 	now := ms.clk.Now()
 	st := ledger.NewStore(now.Add(-time.Minute), 10*time.Minute, count+1)
 	for ix := range count {
@@ -100,17 +102,17 @@
 	return st
 }
 
-func (ms *measurer) keyBytes() Slope {
-	return series("ledger heap", "remembered key", "bytes", keySizes, func(size int) float64 {
-		st, heap := heapBytes(func() *ledger.Store { return ms.storeWith(size) })
+func (ms *measurer) ledgerHeap() Slope {
+	return measureSeries("ledger heap", "remembered key", "bytes", keySizes, func(size int) float64 {
+		st, heap := heapBytes(func() *ledger.Store { return ms.newLedger(size) })
 		runtime.KeepAlive(st)
 		return heap
 	})
 }
 
 func (ms *measurer) reserveMicros() Slope {
-	return series("ledger reservation", "remembered key", "us each", keySizes, func(size int) float64 {
-		st := ms.storeWith(size)
+	return measureSeries("ledger reservation", "remembered key", "us each", keySizes, func(size int) float64 {
+		st := ms.newLedger(size)
 		now := ms.clk.Now()
 		const count = 1000
 		list := make([]string, count)
@@ -128,7 +130,7 @@
 }
 
 func (ms *measurer) advertBytes() Slope {
-	return series("advert of free slots", "service", "bytes", []int{5, 20, 50}, func(size int) float64 {
+	return measureSeries("advert of free slots", "service", "bytes", []int{5, 20, 50}, func(size int) float64 {
 		ad := peerapi.Advert{Entry: "zone-00-1", Free: map[weir.ServiceName]int{}}
 		for ix := range size {
 			ad.Free[weir.ServiceName(fmt.Sprintf("pool-%02d", ix))] = rand.Intn(90) + 10 //nolint:gosec // a size only
--- a/internal/standin/slopes/measure_feed.go
+++ b/internal/standin/slopes/measure_feed.go
@@ -12,8 +12,10 @@
 	"greengageweir/internal/link/peer"
 )
 
-// feed links listeners to a hub over loopback and publishes effects to them.
-func (ms *measurer) feed(listeners, effects int) (cpuEach, millisAll float64) {
+// publishEffects connects listeners to a hub over loopback and publishes effects
+// to them. It returns the CPU microseconds per listener and effect, and the
+// milliseconds until all listeners have received an effect.
+func (ms *measurer) publishEffects(listeners, effects int) (cpuEach, millisAll float64) {
 	hb := hub.New()
 	hb.View = func() view.View { return view.View{} }
 	sv := &peer.Server{Addr: "127.0.0.1:0", Token: "token-of-the-slopes", OnDisconnect: hb.Unsubscribe}
@@ -40,7 +42,7 @@
 		}
 		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.Subscribe{}, nil))
 	}
-	delta := changeOf(config(0), 1)
+	delta := poolChange(fleetConfig(0), 1)
 	begin := ms.clk.Now()
 	cpu := cpuMicros(effects*listeners, func() {
 		for ix := range effects {
@@ -53,16 +55,16 @@
 	return cpu, ms.clk.Now().Sub(begin).Seconds() * 1000 / float64(effects)
 }
 
-func (ms *measurer) feedMicros() Slope {
-	return series("roll-out CPU, both ends", "listener", "us a listener and change", listenerSizes, func(size int) float64 {
-		cpu, _ := ms.feed(size, 50)
+func (ms *measurer) rolloutMicros() Slope {
+	return measureSeries("roll-out CPU, both ends", "listener", "us a listener and change", listenerSizes, func(size int) float64 {
+		cpu, _ := ms.publishEffects(size, 50)
 		return cpu
 	})
 }
 
-func (ms *measurer) feedMillis() Slope {
-	return series("roll-out from one member to all its listeners", "listener", "ms", listenerSizes, func(size int) float64 {
-		_, millis := ms.feed(size, 50)
+func (ms *measurer) rolloutMillis() Slope {
+	return measureSeries("roll-out from one member to all its listeners", "listener", "ms", listenerSizes, func(size int) float64 {
+		_, millis := ms.publishEffects(size, 50)
 		return millis
 	})
 }
--- a/internal/standin/slopes/measure_log.go
+++ b/internal/standin/slopes/measure_log.go
@@ -7,7 +7,8 @@
 	"greengageweir/internal/state/wal"
 )
 
-func (ms *measurer) logWith(count int) string {
+// writeLog writes a log of count entries to a new directory and returns its path.
+func (ms *measurer) writeLog(count int) string {
 	dir, err := os.MkdirTemp("", "weir-slopes")
 	ms.check(err)
 	ms.check(wal.Format(dir, false))
@@ -27,8 +28,8 @@
 }
 
 func (ms *measurer) replayMillis() Slope {
-	return series("recovery of the log", "entry", "ms", logSizes, func(size int) float64 {
-		dir := ms.logWith(size)
+	return measureSeries("recovery of the log", "entry", "ms", logSizes, func(size int) float64 {
+		dir := ms.writeLog(size)
 		defer func() { _ = os.RemoveAll(dir) }()
 		begin := ms.clk.Now()
 		lg, _, err := wal.Open(dir)
@@ -40,8 +41,8 @@
 }
 
 func (ms *measurer) appendMillis() Slope {
-	return series("append and sync a batch", "entry in the batch", "ms", []int{1, 64, 512}, func(size int) float64 {
-		dir := ms.logWith(0)
+	return measureSeries("append and sync a batch", "entry in the batch", "ms", []int{1, 64, 512}, func(size int) float64 {
+		dir := ms.writeLog(0)
 		defer func() { _ = os.RemoveAll(dir) }()
 		lg, _, err := wal.Open(dir)
 		ms.check(err)
--- a/internal/standin/slopes/page_test.go
+++ b/internal/standin/slopes/page_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPageMatchesTheRun keeps docs/CAPACITY.md from drifting away from the
-// run that its figures come from.
-func TestPageMatchesTheRun(t *testing.T) {
+// TestPageMatchesReport guards against a table in docs/CAPACITY.md that differs
+// from the stored report, after a change of the report, the table or the page.
+func TestPageMatchesReport(t *testing.T) {
 	rep, err := Read("../../../docs/slopes.json")
 	require.NoError(t, err)
 	want, err := Table(rep)
@@ -20,10 +20,10 @@
 }
 
 func TestFit(t *testing.T) {
-	sl := fit(Slope{Points: []Point{{Size: 1, Value: 5}, {Size: 2, Value: 7}, {Size: 10, Value: 23}}})
+	sl := fitLine(Slope{Points: []Point{{Size: 1, Value: 5}, {Size: 2, Value: 7}, {Size: 10, Value: 23}}})
 	require.InDelta(t, 3, sl.Base, 1e-9)
 	require.InDelta(t, 2, sl.Slope, 1e-9)
 	require.InDelta(t, 0, sl.Residual, 1e-9)
-	sl = fit(Slope{Points: []Point{{Size: 0, Value: 0}, {Size: 1, Value: 2}, {Size: 2, Value: 1}}})
+	sl = fitLine(Slope{Points: []Point{{Size: 0, Value: 0}, {Size: 1, Value: 2}, {Size: 2, Value: 1}}})
 	require.Positive(t, sl.Residual)
 }
