--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -94,7 +94,7 @@
 	Machine
 	state       weir.MachineState
 	incarnation int
-	id          weir.InstanceID // of its worker, "" if none is running
+	workerID    weir.InstanceID // "" if no worker is running
 }
 
 // Add adds a machine to the fleet and starts its worker.
@@ -122,10 +122,10 @@
 	}
 	mc.incarnation++
 	now := fl.Clock.Now()
-	mc.id = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.incarnation))
-	fl.workers[mc.id] = &taskworker.Worker{ID: mc.id, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Capacity: mc.Capacity}
+	mc.workerID = weir.InstanceID(fmt.Sprintf("%s-%d", mc.Name, mc.incarnation))
+	fl.workers[mc.workerID] = &taskworker.Worker{ID: mc.workerID, Born: now.UnixMilli(), Clock: fl.Clock, Task: fl.Task, Capacity: mc.Capacity}
 	wk := store.Worker{
-		ID: mc.id, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.id), Rack: mc.Rack, Capacity: mc.Capacity,
+		ID: mc.workerID, Incarnation: now.UnixMilli(), Machine: mc.Name, Pool: mc.Pool, Address: string(mc.workerID), Rack: mc.Rack, Capacity: mc.Capacity,
 	}
 	fl.mu.Unlock()
 	fl.OnWorkerUp(wk)
@@ -133,9 +133,9 @@
 
 // stopWorker stops a machine's worker with all its runs. The lock must be held.
 func (fl *Fleet) stopWorker(mc *machine) {
-	wk := fl.workers[mc.id]
-	delete(fl.workers, mc.id)
-	mc.id = ""
+	wk := fl.workers[mc.workerID]
+	delete(fl.workers, mc.workerID)
+	mc.workerID = ""
 	if wk == nil {
 		return
 	}
@@ -189,8 +189,8 @@
 	defer fl.mu.Unlock()
 	out := make([]MachineStatus, 0, len(fl.machines))
 	for _, mc := range fl.machines {
-		vw := MachineStatus{Name: mc.Name, Pool: mc.Pool, Up: mc.state == weir.MachineUp, Worker: mc.id}
-		if wk := fl.workers[mc.id]; wk != nil {
+		vw := MachineStatus{Name: mc.Name, Pool: mc.Pool, Up: mc.state == weir.MachineUp, Worker: mc.workerID}
+		if wk := fl.workers[mc.workerID]; wk != nil {
 			us := wk.Usage()
 			vw.Runs, vw.Cores = us.Runs, us.Cores
 		}
@@ -218,7 +218,7 @@
 	defer fl.mu.Unlock()
 	var out []weir.Machine
 	for _, mc := range fl.machines {
-		out = append(out, weir.Machine{Name: mc.Name, Pool: mc.Pool, State: mc.state, Worker: mc.id})
+		out = append(out, weir.Machine{Name: mc.Name, Pool: mc.Pool, State: mc.state, Worker: mc.workerID})
 	}
 	return out, nil
 }
