--- a/cmd/weirstandin/load.go
+++ b/cmd/weirstandin/load.go
@@ -13,19 +13,19 @@
 	weir "greengageweir"
 )
 
-// loadCommand sends a bounded load.
+// loadCommand sends requests for a limited time and writes the results to a file.
 type loadCommand struct {
 	Targets  []string      `long:"target" required:"true" description:"Entry instance as zone=IP:port; repeat for each"`
 	Services []string      `long:"service" required:"true" description:"Service to call; repeat for each"`
 	Teams    []string      `long:"team" description:"Team to call as; repeat for each"`
-	Rate     int           `long:"rate" default:"100" description:"Requests a second"`
-	Bookings int           `long:"bookings" default:"60" description:"Share of bookings in percent"`
-	Twice    int           `long:"twice" default:"10" description:"Share of bookings sent twice, in percent"`
+	Rate     int           `long:"rate" default:"100" description:"Requests per second"`
+	Bookings int           `long:"bookings" default:"60" description:"Percentage of bookings"`
+	Twice    int           `long:"twice" default:"10" description:"Percentage of bookings sent twice"`
 	WorkMS   int           `long:"work-ms" default:"20" description:"Milliseconds that a worker is busy with a request"`
-	Duration time.Duration `long:"duration" default:"10s" description:"How long to send"`
+	Duration time.Duration `long:"duration" default:"10s" description:"How long to send requests"`
 	Timeout  time.Duration `long:"timeout" default:"2s" description:"Deadline of a request"`
-	Tries    int           `long:"tries" default:"20" description:"Requests under one key at most"`
-	Seed     int64         `long:"seed" default:"1" description:"Seed of the mix"`
+	Tries    int           `long:"tries" default:"20" description:"Maximum attempts for one request"`
+	Seed     int64         `long:"seed" default:"1" description:"Random seed of the request mix"`
 	Out      string        `long:"out" required:"true" description:"File for the results"`
 }
 
--- a/cmd/weirstandin/main.go
+++ b/cmd/weirstandin/main.go
@@ -1,6 +1,6 @@
-// Command weirstandin runs small stand-ins for development, tests and the
-// demo: workers with their platform, callers, and the comparison of what was
-// told with what ran.
+// Command weirstandin runs stand-ins for development, tests and demos: simulated
+// workers with their platform, callers and network, a check of the callers'
+// results against the workers' journals, and capacity measurements.
 package main
 
 import (
@@ -10,14 +10,14 @@
 )
 
 func main() {
-	os.Exit(cli.Run("weirstandin", "Stand-ins for workers, platform and callers.", []cli.Command{
+	os.Exit(cli.Run("weirstandin", "Simulated workers, platform, callers and network, and measurements.", []cli.Command{
 		{Name: "workers", Short: "Run the workers of one site and their platform", Data: &workersCommand{}},
-		{Name: "task-workers", Short: "Run workers that pretend to run tasks", Data: &taskWorkersCommand{}},
-		{Name: "load", Short: "Send a mix of bookings and reads and record the answers", Data: &loadCommand{}},
-		{Name: "relay", Short: "Forward between zones, and cut them off on request", Data: &relayCommand{}},
-		{Name: "peaks", Short: "Compare policies for peaks on the real placement", Data: &peaksCommand{}},
-		{Name: "play", Short: "Play a load against the real owner of jobs and a stand-in fleet", Data: &playCommand{}},
-		{Name: "slopes", Short: "Measure how costs grow with size, for docs/CAPACITY.md", Data: &slopesCommand{}},
-		{Name: "verify", Short: "Compare answers and usage with what really ran", Data: &verifyCommand{}},
+		{Name: "task-workers", Short: "Run workers that simulate tasks", Data: &taskWorkersCommand{}},
+		{Name: "load", Short: "Send a mix of bookings and reads and record the results", Data: &loadCommand{}},
+		{Name: "relay", Short: "Forward connections between zones and cut zones off on request", Data: &relayCommand{}},
+		{Name: "peaks", Short: "Compare capacity policies under peaks on the real placement", Data: &peaksCommand{}},
+		{Name: "play", Short: "Run a load against the real job scheduler and a simulated fleet", Data: &playCommand{}},
+		{Name: "slopes", Short: "Measure how costs grow with size and update docs/CAPACITY.md", Data: &slopesCommand{}},
+		{Name: "verify", Short: "Check results and usage against the workers' journals", Data: &verifyCommand{}},
 	}))
 }
--- a/cmd/weirstandin/peaks.go
+++ b/cmd/weirstandin/peaks.go
@@ -6,7 +6,7 @@
 	"greengageweir/internal/standin/peaks"
 )
 
-// peaksCommand measures what a fleet needs when services peak in turn.
+// peaksCommand measures the fleet size that each policy needs under peaks.
 type peaksCommand struct{}
 
 // Execute implements flags.Commander.
--- a/cmd/weirstandin/play.go
+++ b/cmd/weirstandin/play.go
@@ -8,11 +8,11 @@
 	"greengageweir/internal/standin/play"
 )
 
-// playCommand plays a load against the real owner of jobs, in real time; the
-// policies and seeds are played beside each other.
+// playCommand runs a load against the real job scheduler in real time, for all
+// policies and seeds concurrently.
 type playCommand struct {
 	Load   string   `long:"load" default:"small" description:"small, smallTrouble, grown or grownTrouble"`
-	Policy []string `long:"policy" default:"static" default:"reactive" default:"owner" default:"known" description:"Policy of capacity; repeat for several"`
+	Policy []string `long:"policy" default:"static" default:"reactive" default:"owner" default:"known" description:"Capacity policy; repeat for several"`
 	Seeds  int64    `long:"seeds" default:"1" description:"Number of seeds, from 1"`
 	Plot   string   `long:"plot" description:"File for a plot, .svg or .png"`
 }
--- a/cmd/weirstandin/relay.go
+++ b/cmd/weirstandin/relay.go
@@ -11,9 +11,9 @@
 	"greengageweir/internal/standin/relay"
 )
 
-// relayCommand runs the network between zones.
+// relayCommand runs the simulated network between zones.
 type relayCommand struct {
-	ControlAddr string   `long:"control-addr" required:"true" description:"IP:port that takes /cut, /heal and /silence"`
+	ControlAddr string   `long:"control-addr" required:"true" description:"IP:port of the control API with /cut, /heal and /silence"`
 	Routes      []string `long:"route" required:"true" description:"Route as fromZone,IP:port,targetIP:port,toZone; repeat for each"`
 }
 
--- a/cmd/weirstandin/slopes.go
+++ b/cmd/weirstandin/slopes.go
@@ -8,11 +8,11 @@
 	"greengageweir/internal/standin/slopes"
 )
 
-// slopesCommand measures slopes and writes the capacity page's table.
+// slopesCommand measures slopes and updates the table on the capacity page.
 type slopesCommand struct {
 	Out  string `long:"out" default:"docs/slopes.json" description:"File for the measured slopes"`
-	Page string `long:"page" default:"docs/CAPACITY.md" description:"Page whose table is written"`
-	From string `long:"from" description:"Write the page from an earlier run's file, without measuring"`
+	Page string `long:"page" default:"docs/CAPACITY.md" description:"Page with the table to update"`
+	From string `long:"from" description:"Update the page from the file of an earlier run, without measuring"`
 }
 
 // Execute implements flags.Commander.
@@ -29,7 +29,7 @@
 	return slopes.WritePage(sc.Page, table)
 }
 
-// report measures, or reads an earlier run.
+// report measures, or reads the report of an earlier run.
 func (sc *slopesCommand) report() (slopes.Report, error) {
 	if sc.From != "" {
 		return slopes.Read(sc.From)
--- a/cmd/weirstandin/task_workers.go
+++ b/cmd/weirstandin/task_workers.go
@@ -27,12 +27,12 @@
 	weir "greengageweir"
 )
 
-// announceEvery is how often a stand-in announces itself.
-const announceEvery = time.Second
+// announceInterval is the time between two announcements of a worker.
+const announceInterval = time.Second
 
-// taskWorkersCommand runs workers of one pool that pretend to run tasks.
+// taskWorkersCommand runs workers of one pool that simulate tasks.
 type taskWorkersCommand struct {
-	Jobs  []string `long:"jobs" required:"true" description:"Address of a process that takes jobs; repeat for each"`
+	Jobs  []string `long:"jobs" required:"true" description:"Address of a process that accepts jobs; repeat for each"`
 	Pool  string   `long:"pool" required:"true" description:"Pool of the workers"`
 	Count int      `long:"count" default:"2" description:"Number of workers"`
 	Port  int      `long:"port" required:"true" description:"Port of the first worker; the others follow"`
@@ -47,7 +47,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	var steps []weir.Component
+	var components []weir.Component
 	for ix := range tc.Count {
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(tc.Port+ix))
 		ann := jobapi.Announcement{Worker: store.Worker{
@@ -55,21 +55,22 @@
 			Address: addr, Zone: "local", Rack: "r" + strconv.Itoa(ix), Capacity: spec.Resources{MilliCPU: tc.Cores * 1000, MemoryMB: 1 << 20},
 		}}
 		wk := &taskworker.Worker{ID: ann.ID, Born: ann.Incarnation, Clock: clock.System{}}
-		steps = append(steps,
+		components = append(components,
 			&ops.Listener{Name: "worker " + string(ann.ID), Addr: addr, Handler: taskapi.Routes(wk)},
 			&run.Func{Name: "announcer of " + string(ann.ID), Do: func(ctx context.Context) error { return tc.announce(ctx, ann, lg) }})
 	}
-	return run.All(ctx, lg, steps...)
+	return run.All(ctx, lg, components...)
 }
 
+// announce announces a worker until the context is cancelled.
 func (tc *taskWorkersCommand) announce(ctx context.Context, ann jobapi.Announcement, lg log.Logger) error {
 	cl := &jobhttp.Client{Addrs: tc.Jobs}
-	return run.Every(ctx, announceEvery, func() {
+	return run.Every(ctx, announceInterval, func() {
 		ann.Sequence++
-		callCtx, cancel := context.WithTimeout(ctx, announceEvery)
+		callCtx, cancel := context.WithTimeout(ctx, announceInterval)
 		defer cancel()
 		if _, _, err := cl.Do(callCtx, http.MethodPut, "/v1/workers/"+string(ann.ID), ann); err != nil {
-			_ = lg.Log("level", "warn", "msg", "not announced", "worker", ann.ID, "err", err)
+			_ = lg.Log("level", "warn", "msg", "announcement failed", "worker", ann.ID, "err", err)
 		}
 	})
 }
--- a/cmd/weirstandin/verify.go
+++ b/cmd/weirstandin/verify.go
@@ -12,9 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// verifyCommand compares answers and usage with the journals.
+// verifyCommand checks results and usage against the journals. It fails if a
+// check does.
 type verifyCommand struct {
-	Results  string `long:"results" required:"true" description:"File that the load wrote"`
+	Results  string `long:"results" required:"true" description:"Results file written by the load command"`
 	Journals string `long:"journals" required:"true" description:"Folder with the workers' journals"`
 	Usage    string `long:"usage" description:"Output of weirctl usage --output json"`
 }
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -15,13 +15,14 @@
 	weir "greengageweir"
 )
 
-// workersCommand runs the workers that a site's overlay declares.
+// workersCommand runs the workers that a site's overlay declares, and their
+// platform.
 type workersCommand struct {
 	Config       string        `long:"config" required:"true" description:"Folder with base.yaml and overlays/"`
-	Site         string        `long:"site" required:"true" description:"Site whose workers are run"`
+	Site         string        `long:"site" required:"true" description:"Site whose workers to run"`
 	Entries      []string      `long:"entry" required:"true" description:"Announcement address of an entry instance; repeat for each"`
-	PlatformAddr string        `long:"platform-addr" required:"true" description:"IP:port of the platform's interface"`
-	Journal      string        `long:"journal" required:"true" description:"File that records what ran"`
+	PlatformAddr string        `long:"platform-addr" required:"true" description:"IP:port of the platform API"`
+	Journal      string        `long:"journal" required:"true" description:"Journal file that records the executed requests"`
 	RebootTime   time.Duration `long:"reboot-time" default:"1s" description:"How long a reboot takes"`
 }
 
