--- a/internal/standin/play/load.go
+++ b/internal/standin/play/load.go
@@ -44,14 +44,16 @@
 	LongRunningCores                  float64
 }
 
-// Wave is planned maintenance of a share of the machines.
+// Wave is planned maintenance of a share of the machines. It starts at At, and its
+// deadline is Within later.
 type Wave struct {
 	At, Within  time.Duration
 	Share       float64
 	MaxParallel int
 }
 
-// Crash stops a share of the machines without notice.
+// Crash stops a share of the machines at At without notice. They return after
+// Downtime.
 type Crash struct {
 	At, Downtime time.Duration
 	Share        float64
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -151,12 +151,12 @@
 		wg.Wait()
 		time.Sleep(shutdownGrace)
 	}()
-	steps := sr.buildComponents(ctx)
-	if err := run.Defaults(steps...); err != nil {
+	components := sr.buildComponents(ctx)
+	if err := run.Defaults(components...); err != nil {
 		return Result{}, err
 	}
-	for _, stp := range steps {
-		wg.Go(func() { _ = stp.Run(ctx) })
+	for _, co := range components {
+		wg.Go(func() { _ = co.Run(ctx) })
 	}
 	if err := sr.setUp(ctx); err != nil {
 		return Result{}, err
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -33,15 +33,15 @@
 func Measure(clk weir.Clock, progress io.Writer) (Report, error) {
 	rep := Report{Machine: machineInfo()}
 	ms := &measurer{clk: clk}
-	steps := []func() Slope{
+	measurements := []func() Slope{
 		ms.announceCPU, ms.announceBytes, ms.entryHeap, ms.sweepCPU,
 		ms.stateHeap, ms.snapshotBytes, ms.snapshotMillis, ms.reconcileMicros, ms.viewBytes,
 		ms.changeMicros, ms.changeBytes, ms.statusMicros, ms.usageMicros,
 		ms.rolloutMicros, ms.rolloutMillis, ms.replayMillis, ms.appendMillis,
 		ms.ledgerHeap, ms.reserveMicros, ms.advertBytes,
 	}
-	for _, step := range steps {
-		sl := step()
+	for _, measure := range measurements {
+		sl := measure()
 		if ms.err != nil {
 			return rep, ms.err
 		}
--- a/internal/standin/slopes/page_test.go
+++ b/internal/standin/slopes/page_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, strings.TrimSpace(want), got, "run make slopes")
 }
 
-func TestFit(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	sl := fitLine(Slope{Points: []Point{{Size: 1, Value: 5}, {Size: 2, Value: 7}, {Size: 10, Value: 23}}})
 	require.InDelta(t, 3, sl.Base, 1e-9)
 	require.InDelta(t, 2, sl.Slope, 1e-9)
