--- a/internal/standin/verify/verify.go
+++ b/internal/standin/verify/verify.go
@@ -25,16 +25,19 @@
 	weir "greengageweir"
 )
 
-// Report is the result of a comparison.
+// Report is the result of a comparison. Counts are of requests, except where
+// noted.
 type Report struct {
 	Requests int
 	Complete int
 	NotRun   int
 	Unknown  int
-	Resends  int
+	// Resends counts the attempts beyond the first.
+	Resends int
 	// RunTwice counts keys that ran more than once, Lost complete responses
 	// without a run, and FalseNotRun requests that ran although the caller got
-	// the outcome "not run".
+	// the outcome "not run". Wrong counts requests with a wrong response, see
+	// load.Result.
 	RunTwice    int
 	Lost        int
 	FalseNotRun int
