--- a/cmd/weirstandin/play.go
+++ b/cmd/weirstandin/play.go
@@ -8,11 +8,11 @@
 	"greengageweir/internal/standin/play"
 )
 
-// playCommand plays a load against the real owner of jobs, in real time; the
-// policies and seeds are played beside each other.
+// playCommand runs a load against the real job scheduler in real time, for all
+// policies and seeds concurrently.
 type playCommand struct {
 	Load   string   `long:"load" default:"small" description:"small, smallTrouble, grown or grownTrouble"`
-	Policy []string `long:"policy" default:"static" default:"reactive" default:"owner" default:"known" description:"Policy of capacity; repeat for several"`
+	Policy []string `long:"policy" default:"static" default:"reactive" default:"owner" default:"known" description:"Capacity policy; repeat for several"`
 	Seeds  int64    `long:"seeds" default:"1" description:"Number of seeds, from 1"`
 	Plot   string   `long:"plot" description:"File for a plot, .svg or .png"`
 }
@@ -27,8 +27,8 @@
 	errs := make([]error, len(results))
 	var wg sync.WaitGroup
 	for ix := range results {
-		pl := play.Player{Load: ld, Policy: play.Policy(pc.Policy[ix/int(pc.Seeds)]), Seed: int64(ix)%pc.Seeds + 1}
-		wg.Go(func() { results[ix], errs[ix] = pl.Run(context.Background()) })
+		si := play.Simulation{Load: ld, Policy: play.Policy(pc.Policy[ix/int(pc.Seeds)]), Seed: int64(ix)%pc.Seeds + 1}
+		wg.Go(func() { results[ix], errs[ix] = si.Run(context.Background()) })
 	}
 	wg.Wait()
 	for _, err := range errs {
