--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -54,7 +54,7 @@
 type Fleet struct {
 	Clock weir.Clock
 	// Task returns the simulated work of a run at its start; it must not block.
-	Task func(order weir.RunOrder) taskworker.Task
+	Task func(order weir.StartOrder) taskworker.Task
 	// OnWorkerUp is called with each worker that has started.
 	OnWorkerUp func(wk store.Worker)
 	// StandbyPool is the pool whose machines are powered off.
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -41,7 +41,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (fl *Fleet) Start(ctx context.Context, inc weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (fl *Fleet) Start(ctx context.Context, inc weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	return roundTrip(fl, inc, func(wk *taskworker.Worker) (weir.OrderResponse, error) {
 		ans, err := wk.Start(ctx, inc, order)
 		if ans.Refusal == weir.RefusedCapacity {
--- a/internal/standin/peaks/peaks.go
+++ b/internal/standin/peaks/peaks.go
@@ -159,7 +159,7 @@
 // simulation is the state of one run.
 type simulation struct {
 	clk        *clock.Manual
-	tb         *placement.Table
+	tb         *routing.Table
 	vw         view.View
 	policy     Policy
 	demand     Demand
@@ -255,7 +255,7 @@
 	}
 	for len(sm.running) > 0 && sm.running[0].ends <= sm.at {
 		done, _ := heap.Pop(&sm.running).(*queuedRequest)
-		done.slot.Release(placement.Succeeded)
+		done.slot.Release(routing.Succeeded)
 		sm.busy[serviceOf(done.req)]--
 	}
 	if sm.policy == Reactive {
--- a/internal/standin/play/play.go
+++ b/internal/standin/play/play.go
@@ -94,9 +94,9 @@
 // soleLeader implements the leadership of a log with a single member.
 type soleLeader struct{}
 
-func (soleLeader) Leads() bool      { return true }
-func (soleLeader) Term() uint64     { return 1 }
-func (soleLeader) LeaderID() string { return "" }
+func (soleLeader) IsLeader() bool     { return true }
+func (soleLeader) LeaderTerm() uint64 { return 1 }
+func (soleLeader) LeaderID() string   { return "" }
 
 // delayedLog commits each entry after syncTime.
 type delayedLog struct {
@@ -185,13 +185,13 @@
 	sr.store.Clock = sr.clock
 	sr.store.OnApplied = own.Wake
 	sr.handler = &handler.Handler{
-		Store: sr.store, Committer: com, Owner: own, Leader: soleLeader{}, Clock: sr.clock, Wall: sr.clock, Logger: sr.Logger,
+		Store: sr.store, Committer: com, Scheduler: own, Leader: soleLeader{}, Clock: sr.clock, Wall: sr.clock, Logger: sr.Logger,
 	}
 	return []weir.Component{com, own}
 }
 
 // task returns the simulated work of a run and records the start of its job.
-func (sr *simulationRun) task(order weir.RunOrder) taskworker.Task {
+func (sr *simulationRun) task(order weir.StartOrder) taskworker.Task {
 	sr.recordStart(order.Task, sr.clock.Now())
 	out := taskworker.Task{Resources: sr.jobSteps[order.Task.Job][order.Task.Step].Reserved(), LongRunning: true}
 	if pd, ok := sr.planned[order.Task.Job]; ok {
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -125,8 +125,8 @@
 }
 
 // newTable returns a placement table with the view of size instances.
-func (ms *measurer) newTable(size int) *placement.Table {
-	tb := placement.New(ms.clk, "zone-00")
+func (ms *measurer) newTable(size int) *routing.Table {
+	tb := routing.New(ms.clk, "zone-00")
 	tb.SetView(ms.newFleet(size, nil).View())
 	return tb
 }
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -60,7 +60,7 @@
 
 func (ms *measurer) entryHeap() Slope {
 	return measureSeries("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
-		tb, heap := heapBytes(func() *placement.Table {
+		tb, heap := heapBytes(func() *routing.Table {
 			tb := ms.newTable(size)
 			for ix := range size {
 				tb.Announce(newAnnouncement(ix))
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -94,7 +94,7 @@
 	Clock weir.Clock
 	// Task returns the simulated work of a run at its start; nil takes the
 	// duration from the order's text. It must not block.
-	Task func(order weir.RunOrder) Task
+	Task func(order weir.StartOrder) Task
 	// Capacity limits the resources in use at a time; the zero value sets no limit.
 	Capacity spec.Resources
 
@@ -142,7 +142,7 @@
 	delete(wk.runs, key)
 	wk.lastRun[key.Task] = max(wk.lastRun[key.Task], key.Run)
 	wk.lastEnd++
-	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.lastEnd, How: string(reason), Checkpoint: checkpoint})
+	wk.ends = append(wk.ends, weir.RunEnd{RunKey: key, Number: wk.lastEnd, Reason: string(reason), Checkpoint: checkpoint})
 	close(wk.endSignal)
 	wk.endSignal = make(chan struct{})
 }
@@ -150,7 +150,7 @@
 // authorize rejects orders for another incarnation and orders with an outdated
 // fencing token. The lock must be held.
 func (wk *Worker) authorize(inc weir.WorkerIncarnation, token uint64) weir.Refusal {
-	if inc.ID != wk.ID || inc.Born != wk.Born {
+	if inc.ID != wk.ID || inc.Incarnation != wk.Born {
 		return weir.RefusedIncarnation
 	}
 	if token < wk.token {
@@ -167,7 +167,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (wk *Worker) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (wk *Worker) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	now := wk.lockAndUpdate()
 	defer wk.mu.Unlock()
 	ans := weir.OrderResponse{Clock: now.Sub(wk.clockOrigin)}
@@ -187,7 +187,7 @@
 	return ans, nil
 }
 
-func (wk *Worker) startRun(now time.Time, order weir.RunOrder) weir.Refusal {
+func (wk *Worker) startRun(now time.Time, order weir.StartOrder) weir.Refusal {
 	rn := &running{startedAt: now, resumedFrom: parseCheckpoint(order.Checkpoint), Task: Task{Duration: parseDuration(order.Text)}}
 	if wk.Task != nil {
 		rn.Task = wk.Task(order)
@@ -319,7 +319,7 @@
 
 func (wk *Worker) report() weir.WorkerReport {
 	now := wk.Clock.Now()
-	rep := weir.WorkerReport{Clock: now.Sub(wk.clockOrigin), Born: wk.Born, Ends: slices.Clone(wk.ends)}
+	rep := weir.WorkerReport{Clock: now.Sub(wk.clockOrigin), Incarnation: wk.Born, Ends: slices.Clone(wk.ends)}
 	for key, rn := range wk.runs {
 		rep.Running = append(rep.Running, weir.RunningTask{
 			RunKey: key, Percent: rn.percent(now), Checkpoint: strconv.FormatInt(int64(rn.workDone(now).Truncate(time.Second)), 10),
