--- a/cmd/greengageweir/common.go
+++ b/cmd/greengageweir/common.go
@@ -8,10 +8,10 @@
 	"syscall"
 	"time"
 
-	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logging"
-	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/common/auth"
+	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/settings"
 
 	"github.com/go-kit/log"
 )
--- a/cmd/greengageweir/jobs.go
+++ b/cmd/greengageweir/jobs.go
@@ -5,16 +5,16 @@
 	"os"
 	"time"
 
+	"greengageweir/internal/common/auth"
+	"greengageweir/internal/common/cli"
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/ops"
+	"greengageweir/internal/common/run"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/cli"
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logging"
-	"greengageweir/internal/duty/ops"
-	"greengageweir/internal/duty/run"
-	"greengageweir/internal/duty/settings"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/go-kit/log"
@@ -89,7 +89,7 @@
 	ctx := signalContext(lg, func() string { return "no synced data" })
 	lr := &logReplica{
 		PeerAddr: jc.PeerAddr, Zone: jc.Zone, Token: token, Seeds: jc.Seeds, DataDir: jc.DataDir, Voters: 2*jc.Tolerance + 1,
-		Retention: jc.Retention, HolderName: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
+		Retention: jc.Retention, LeaseHolder: jc.PeerAddr, Workers: taskapi.NewClient(clock.BootTime{}), Logger: lg,
 	}
 	lr.build()
 	lr.components = append(lr.components, &ops.Listener{
--- a/cmd/greengageweir/log_replica.go
+++ b/cmd/greengageweir/log_replica.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
@@ -51,8 +51,8 @@
 	// OnLeadershipChange is called when this process gains or loses leadership; it
 	// may be nil.
 	OnLeadershipChange func(leads bool)
-	// HolderName names this process in its orders for machines.
-	HolderName string
+	// LeaseHolder names this process in its orders for machines.
+	LeaseHolder string
 	// MachineOrderDelay is the minimum time between orders of two different
 	// leaders for one machine.
 	MachineOrderDelay time.Duration
@@ -82,16 +82,16 @@
 		Heartbeat: raftHeartbeat, Election: raftElectionTimeout, SnapshotEvery: snapshotEntries, LazyPropagation: true,
 	}
 	lr.roster = &roster.Roster{
-		Self: self.ID, HoldsLog: true, Seeds: lr.Seeds, Links: lks, Log: lr.node, Voters: lr.Voters, Logger: lg,
+		Self: self.ID, IsReplica: true, Seeds: lr.Seeds, Links: lks, Log: lr.node, Voters: lr.Voters, Logger: lg,
 	}
 	com := &scheduler.Committer{Log: lr.node, Wall: wallClock}
 	sch := &scheduler.Scheduler{
 		Store: str, Committer: com, Leadership: lr.node, Workers: lr.Workers, Machines: lr.Machines, MachineOrderRate: lr.MachineOrderRate, Adviser: lr.Adviser, Clock: bootClock, Wall: wallClock, Logger: lg,
-		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, HolderName: lr.HolderName, MachineOrderDelay: lr.MachineOrderDelay,
+		Lease: workerLease, Retention: lr.Retention, OnLeadershipChange: lr.OnLeadershipChange, LeaseHolder: lr.LeaseHolder, MachineOrderDelay: lr.MachineOrderDelay,
 	}
 	str.OnApplied = sch.Wake
 	lr.handler = &handler.Handler{
-		Self: self.ID, Store: str, Committer: com, Owner: sch, Leader: lr.node, Links: lks, Clock: bootClock, Wall: wallClock, Logger: lg,
+		Self: self.ID, Store: str, Committer: com, Scheduler: sch, Leader: lr.node, Links: lks, Clock: bootClock, Wall: wallClock, Logger: lg,
 	}
 	lr.components = []weir.Component{
 		lks, lr.node, com, sch, lr.roster,
@@ -101,7 +101,7 @@
 
 // dumpState returns the process's part of the state dump.
 func (lr *logReplica) dumpState() any {
-	return map[string]any{"log": lr.node.Status(), "holders": lr.roster.Holders()}
+	return map[string]any{"log": lr.node.Status(), "holders": lr.roster.ReplicaIDs()}
 }
 
 // handlePeerCall handles the calls of other processes.
@@ -119,7 +119,7 @@
 		if err := call.Decode(&in); err != nil {
 			return nil, err
 		}
-		return lr.roster.HandleIntroduction(in), nil
+		return lr.roster.HandleDirectoryRequest(in), nil
 	case jobapi.CallMethod:
 		var in jobapi.Call
 		if err := call.Decode(&in); err != nil {
--- a/cmd/greengageweir/platform.go
+++ b/cmd/greengageweir/platform.go
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
-	"greengageweir/internal/duty/cli"
-	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logging"
-	"greengageweir/internal/duty/ops"
-	"greengageweir/internal/duty/run"
+	"greengageweir/internal/common/cli"
+	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
+	"greengageweir/internal/common/ops"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/member/roster"
 	"greengageweir/platform"
 
--- a/cmd/weirctl/fleet.go
+++ b/cmd/weirctl/fleet.go
@@ -78,7 +78,7 @@
 				end = wv.ExpectedEnd.Format(time.RFC3339)
 			}
 			rows = append(rows, []string{
-				wv.Name, string(wv.State), strconv.Itoa(wv.Todo), strconv.Itoa(len(wv.Active)), strconv.Itoa(wv.Done),
+				wv.Name, string(wv.State), strconv.Itoa(wv.Pending), strconv.Itoa(len(wv.Active)), strconv.Itoa(wv.Done),
 				strconv.Itoa(len(wv.Stuck)), end,
 			})
 		}
@@ -151,7 +151,7 @@
 // Execute implements flags.Commander.
 func (im *instanceMove) Execute([]string) error {
 	return im.sendCommand("/v1/moves", operator.MoveRequest{
-		RequestID: im.ensureRequestID(), Instance: weir.InstanceID(im.Args.Instance), To: weir.PoolName(im.Args.Pool),
+		RequestID: im.ensureRequestID(), Instance: weir.InstanceID(im.Args.Instance), TargetPool: weir.PoolName(im.Args.Pool),
 	})
 }
 
--- a/cmd/weirstandin/load.go
+++ b/cmd/weirstandin/load.go
@@ -6,8 +6,8 @@
 	"os"
 	"time"
 
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/settings"
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/settings"
 	"greengageweir/internal/standin/load"
 
 	weir "greengageweir"
--- a/cmd/weirstandin/workers.go
+++ b/cmd/weirstandin/workers.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/logging"
 	"greengageweir/internal/config/file"
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/logging"
 	"greengageweir/internal/standin/worker"
 
 	weir "greengageweir"
--- a/internal/duty/ops/ops.go
+++ b/internal/common/ops/ops.go
@@ -16,10 +16,10 @@
 	"runtime"
 	"time"
 
-	"greengageweir/internal/duty/auth"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/invariant"
-	"greengageweir/internal/duty/logging"
+	"greengageweir/internal/common/auth"
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
+	"greengageweir/internal/common/logging"
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
@@ -72,7 +72,7 @@
 	State      any                   `json:"state"`
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (sv *Server) String() string { return "operators' server" }
 
 // Default opens the listener and registers the routes.
--- a/internal/contract/jobhttp/jobhttp.go
+++ b/internal/contract/jobhttp/jobhttp.go
@@ -29,9 +29,9 @@
 	"strings"
 	"time"
 
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/config/catalog"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 
@@ -54,14 +54,14 @@
 	Stretch       float64       `json:"stretch"`
 	Priority      int           `json:"priority"`
 	MaxAttempts   int           `json:"maxAttempts"`
-	// Advice is set if the adviser decides which workers may run a step.
-	Advice *Advice `json:"advice,omitempty"`
+	// Adviser is set if the adviser decides which workers may run a step.
+	Adviser *AdviserSettings `json:"advice,omitempty"`
 }
 
-// Advice describes the adviser: its response time is BaseMillis plus
+// AdviserSettings describes the adviser: its response time is BaseMillis plus
 // PerWorkerMillis for each worker in the call, and its tickets are valid for
 // ValidityMillis.
-type Advice struct {
+type AdviserSettings struct {
 	BaseMillis      int64 `json:"baseMillis"`
 	PerWorkerMillis int64 `json:"perWorkerMillis"`
 	ValidityMillis  int64 `json:"validityMillis"`
@@ -84,8 +84,8 @@
 			Name: qu.Name, Host: queueHost, Prefix: "/" + qu.Name + "/", Pool: qu.Pool, Timeout: millis(qu.TimeoutMillis),
 			TargetLatency: millis(qu.TargetMillis), Stretch: qu.Stretch, Priority: qu.Priority, MaxAttempts: qu.MaxAttempts,
 		}
-		if ad := qu.Advice; ad != nil {
-			queue.Advice = &catalog.Advice{
+		if ad := qu.Adviser; ad != nil {
+			queue.Adviser = &catalog.AdviserSettings{
 				Base: millis(ad.BaseMillis), PerWorker: millis(ad.PerWorkerMillis), Validity: millis(ad.ValidityMillis),
 			}
 		}
@@ -152,8 +152,8 @@
 	MaxParallel    int      `json:"atOnce"`
 }
 
-// Answer is the body of every response but that of GET /v1/catalog.
-type Answer struct {
+// Response is the body of every response but that of GET /v1/catalog.
+type Response struct {
 	Outcome jobapi.Outcome `json:"outcome"`
 	Reason  string         `json:"reason,omitempty"`
 	Phase   store.Phase    `json:"phase,omitempty"`
@@ -205,7 +205,7 @@
 
 func writeReply(ctx echo.Context, rep jobapi.Reply) error {
 	rep.SetRetryAfter(ctx.Response().Header())
-	return ctx.JSON(rep.Outcome.HTTPStatus(), Answer{
+	return ctx.JSON(rep.Outcome.HTTPStatus(), Response{
 		Outcome: rep.Outcome, Reason: rep.Reason, Phase: rep.Phase, Pending: rep.Pending, Done: rep.Done,
 	})
 }
--- a/internal/contract/operator/operator.go
+++ b/internal/contract/operator/operator.go
@@ -48,9 +48,9 @@
 
 // MoveRequest moves an instance to a pool.
 type MoveRequest struct {
-	RequestID string          `json:"requestId"`
-	Instance  weir.InstanceID `json:"instance"`
-	To        weir.PoolName   `json:"to"`
+	RequestID  string          `json:"requestId"`
+	Instance   weir.InstanceID `json:"instance"`
+	TargetPool weir.PoolName   `json:"to"`
 }
 
 // AbandonRequest cancels the drain of an instance.
@@ -96,7 +96,7 @@
 type WaveStatus struct {
 	Name      string            `json:"name"`
 	State     fsm.WaveState     `json:"state"`
-	Todo      int               `json:"todo"`
+	Pending   int               `json:"todo"`
 	Active    []weir.InstanceID `json:"active"`
 	Done      int               `json:"done"`
 	Stuck     []weir.InstanceID `json:"stuck,omitempty"`
--- a/internal/contract/peerapi/peerapi.go
+++ b/internal/contract/peerapi/peerapi.go
@@ -58,8 +58,8 @@
 	LedgerDump = "ledger.dump"
 )
 
-// Subscribe is the request of ViewSubscribe.
-type Subscribe struct {
+// SubscribeRequest is the request of ViewSubscribe.
+type SubscribeRequest struct {
 	// Have is the index of the subscriber's view, 0 if it has none.
 	Have uint64 `json:"have"`
 }
@@ -79,11 +79,11 @@
 	ConfigNumber uint64    `json:"number"`
 	// Full is set when Statuses holds all instances that are leased to the entry
 	// instance, and not only those that changed.
-	Full     bool                        `json:"full,omitempty"`
-	Statuses []command.Status            `json:"statuses,omitempty"`
-	Consents []command.DrainConfirmation `json:"consents,omitempty"`
-	Usage    []command.UsageReport       `json:"usage,omitempty"`
-	Demand   []Demand                    `json:"demand,omitempty"`
+	Full               bool                        `json:"full,omitempty"`
+	Statuses           []command.Status            `json:"statuses,omitempty"`
+	DrainConfirmations []command.DrainConfirmation `json:"consents,omitempty"`
+	Usage              []command.UsageReport       `json:"usage,omitempty"`
+	Demand             []Demand                    `json:"demand,omitempty"`
 }
 
 // Demand is the load of one service at one entry instance at the time of the
@@ -121,9 +121,9 @@
 	Free  map[weir.ServiceName]int `json:"free"`
 }
 
-// Reserve is the request of LedgerReserve: it reserves a key for an attempt at
-// one replica of the ledger.
-type Reserve struct {
+// ReserveRequest is the request of LedgerReserve: it reserves a key for an attempt
+// at one replica of the ledger.
+type ReserveRequest struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
@@ -145,31 +145,32 @@
 )
 
 // ReserveResponse is the response of LedgerReserve. Attempt is the holder of
-// the key if that is another one, Answer the recorded outcome and Reason that of
-// a refusal.
+// the key if that is another one, Recorded the recorded outcome and Reason that
+// of a refusal.
 type ReserveResponse struct {
-	State   ReserveState   `json:"state"`
-	Attempt string         `json:"attempt,omitempty"`
-	Answer  *weir.Response `json:"answer,omitempty"`
-	Reason  string         `json:"reason,omitempty"`
+	State    ReserveState   `json:"state"`
+	Attempt  string         `json:"attempt,omitempty"`
+	Recorded *weir.Response `json:"answer,omitempty"`
+	Reason   string         `json:"reason,omitempty"`
 }
 
-// Finish is the request of LedgerFinish. An attempt that did not run frees the
-// key.
-type Finish struct {
-	Key     string        `json:"key"`
-	Attempt string        `json:"attempt"`
-	Answer  weir.Response `json:"answer"`
+// FinishRequest is the request of LedgerFinish. An attempt that did not run frees
+// the key.
+type FinishRequest struct {
+	Key      string        `json:"key"`
+	Attempt  string        `json:"attempt"`
+	Response weir.Response `json:"answer"`
 }
 
-// Join is the request of LedgerJoin.
-type Join struct {
+// JoinRequest is the request of LedgerJoin.
+type JoinRequest struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
 
-// Dump is the request of LedgerDump: the records after a key, in order of keys.
-type Dump struct {
+// DumpRequest is the request of LedgerDump: the records after a key, in order of
+// keys.
+type DumpRequest struct {
 	After string `json:"after"`
 }
 
@@ -183,10 +184,10 @@
 	More bool `json:"more"`
 }
 
-// Record is the ledger's record of one key. Answer is nil while the attempt has
-// no outcome.
+// Record is the ledger's record of one key. Response is nil while the attempt
+// has no outcome.
 type Record struct {
-	Key     string         `json:"key"`
-	Attempt string         `json:"attempt"`
-	Answer  *weir.Response `json:"answer,omitempty"`
+	Key      string         `json:"key"`
+	Attempt  string         `json:"attempt"`
+	Response *weir.Response `json:"answer,omitempty"`
 }
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -14,10 +14,10 @@
 	"sort"
 	"time"
 
+	"greengageweir/internal/common/auth"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/operator"
 	"greengageweir/internal/control/rpc"
-	"greengageweir/internal/duty/auth"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
 
@@ -149,7 +149,7 @@
 	ap.Service.Machine.Read(func(rd fsm.Reader) {
 		ans.Index, ans.ConfigNumber, ans.Pools, ans.Moves = rd.Index(), rd.ConfigNumber(), rd.Pools(), rd.CompletedMoves()
 	})
-	for _, dm := range ap.Service.Registry.Demand(ap.Service.Clock.Now()) {
+	for _, dm := range ap.Service.Registry.DemandByService(ap.Service.Clock.Now()) {
 		ans.Demand = append(ans.Demand, dm)
 	}
 	sort.Slice(ans.Demand, func(a, b int) bool { return ans.Demand[a].Service < ans.Demand[b].Service })
@@ -186,7 +186,7 @@
 
 func waveStatus(wv *fsm.Wave, now time.Time) operator.WaveStatus {
 	ws := operator.WaveStatus{
-		Name: wv.Name, State: wv.State, Todo: len(wv.Todo), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
+		Name: wv.Name, State: wv.State, Pending: len(wv.Pending), Done: len(wv.Done), CreatedAt: wv.CreatedAt,
 		Active: sortedIDs(wv.Active), Stuck: sortedIDs(wv.Stuck),
 	}
 	if !wv.EndedAt.IsZero() {
@@ -195,7 +195,7 @@
 		return ws
 	}
 	if len(wv.Done) > 0 {
-		left := len(wv.Todo) + len(wv.Active)
+		left := len(wv.Pending) + len(wv.Active)
 		end := now.Add(now.Sub(wv.CreatedAt) * time.Duration(left) / time.Duration(len(wv.Done)))
 		ws.ExpectedEnd = &end
 	}
@@ -236,7 +236,7 @@
 	}
 	// Lent keeps the leader from moving the instance back to its configured pool.
 	return ap.propose(ech, command.Command{
-		RequestID: req.RequestID, Move: &command.Move{Instance: req.Instance, To: req.To, Lent: true},
+		RequestID: req.RequestID, Move: &command.Move{Instance: req.Instance, TargetPool: req.TargetPool, Lent: true},
 	})
 }
 
@@ -257,7 +257,7 @@
 		return err
 	}
 	return ap.propose(ech, command.Command{
-		RequestID: req.RequestID, Process: &command.Process{ID: ech.Param("process"), Forget: true},
+		RequestID: req.RequestID, Process: &command.ProcessUpdate{ID: ech.Param("process"), Forget: true},
 	})
 }
 
--- a/internal/control/rpc/service.go
+++ b/internal/control/rpc/service.go
@@ -11,10 +11,10 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/control/hub"
 	"greengageweir/internal/control/registry"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/link/peer"
@@ -60,7 +60,7 @@
 		sv.Node.Deliver(msg)
 		return nil, nil
 	case peerapi.ViewSubscribe:
-		var sub peerapi.Subscribe
+		var sub peerapi.SubscribeRequest
 		if err := call.Decode(&sub); err != nil {
 			return nil, err
 		}
--- a/internal/entry/callerapi/server.go
+++ b/internal/entry/callerapi/server.go
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/caller"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/ledger"
 
 	"github.com/labstack/echo/v4"
@@ -64,11 +64,11 @@
 	// Ready returns nil if callers may use this instance, or the reason why
 	// they should not.
 	Ready func() error
-	// DrainNotice is the time between the start of a stop and the closing of
+	// ShutdownDelay is the time between the start of a stop and the closing of
 	// the listener, in which the load balancer can notice the stop.
-	// DrainPatience is the time for requests in flight after that.
-	DrainNotice   time.Duration
-	DrainPatience time.Duration
+	// ShutdownTimeout is the time for requests in flight after that.
+	ShutdownDelay   time.Duration
+	ShutdownTimeout time.Duration
 
 	listener net.Listener
 	server   *http.Server
@@ -97,19 +97,19 @@
 }
 
 // Run serves until the context ends. It then reports that it is stopping, waits
-// for DrainNotice, closes the listener and lets requests in flight finish.
+// for ShutdownDelay, closes the listener and lets requests in flight finish.
 func (sv *Server) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- ops.Serve(serveCtx, sv.server, sv.listener, sv.DrainPatience) }()
+	go func() { done <- ops.Serve(serveCtx, sv.server, sv.listener, sv.ShutdownTimeout) }()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
 	sv.stopping.Store(true)
-	time.Sleep(sv.DrainNotice)
+	time.Sleep(sv.ShutdownDelay)
 	cancel()
 	return <-done
 }
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/link/peer"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -35,8 +35,8 @@
 	ledger.Caller
 	Ready(id string) bool
 	PickPeer(service weir.ServiceName) (string, bool)
-	Has(service weir.ServiceName) bool
-	Exhausted(id string, service weir.ServiceName)
+	HasFreeSlot(service weir.ServiceName) bool
+	MarkExhausted(id string, service weir.ServiceName)
 }
 
 // Dispatcher implements weir.Dispatcher. Set the exported fields before use.
@@ -44,7 +44,7 @@
 	Self    string
 	Zone    weir.Zone
 	Entries []ledger.EntryInstance
-	Table   *placement.Table
+	Table   *routing.Table
 	Mesh    Mesh
 	Store   *ledger.Store
 	Clock   weir.Clock
@@ -158,7 +158,7 @@
 	var ids []string
 	for _, ei := range dp.Entries {
 		if ei.Zone == zone {
-			ids = append(ids, ei.Entry)
+			ids = append(ids, ei.ID)
 		}
 	}
 	sort.Slice(ids, func(a, b int) bool { return ledger.Rank(key, ids[a]) > ledger.Rank(key, ids[b]) })
@@ -236,7 +236,7 @@
 // AwaitAttempt returns the outcome of an attempt that is in flight here. It
 // waits only for an attempt that has claimed the key: otherwise two instances
 // that both lost the claim would wait for each other.
-func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.Join) weir.Response {
+func (dp *Dispatcher) AwaitAttempt(ctx context.Context, jo peerapi.JoinRequest) weir.Response {
 	dp.mu.Lock()
 	ka, ok := dp.attempts[jo.Key]
 	dp.mu.Unlock()
@@ -259,17 +259,17 @@
 		return ans
 	}
 	holder, _, _ := strings.Cut(claim.Holder, "/")
-	if claim.Answer.Kind == weir.Unknown && holder != "" && holder != dp.Self {
+	if claim.Response.Kind == weir.Unknown && holder != "" && holder != dp.Self {
 		ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(dp.Clock.Now())+postDeadlineWait(req))
 		defer cancel()
-		return dp.awaitAttemptAt(ctx, holder, peerapi.Join{Key: req.Key, Attempt: claim.Holder}, *claim.Answer)
+		return dp.awaitAttemptAt(ctx, holder, peerapi.JoinRequest{Key: req.Key, Attempt: claim.Holder}, *claim.Response)
 	}
-	return *claim.Answer
+	return *claim.Response
 }
 
 // awaitAttemptAt waits for the outcome of an attempt at the instance that holds
 // its key.
-func (dp *Dispatcher) awaitAttemptAt(ctx context.Context, holder string, jo peerapi.Join, fallback weir.Response) weir.Response {
+func (dp *Dispatcher) awaitAttemptAt(ctx context.Context, holder string, jo peerapi.JoinRequest, fallback weir.Response) weir.Response {
 	var ans weir.Response
 	if dp.Mesh.Call(ctx, holder, peerapi.LedgerJoin, jo, &ans) != nil {
 		return fallback
@@ -350,7 +350,7 @@
 func (dp *Dispatcher) tryOnce(ctx context.Context, req weir.Request) (weir.Response, bool) {
 	slot, err := dp.Table.TryAcquire(&req)
 	for err != nil {
-		if !errkind.Is(err, placement.KindNoSlot) {
+		if !errkind.Is(err, routing.KindNoSlot) {
 			return weir.NotRunResponse(err.Error()), false
 		}
 		if id, ok := dp.Mesh.PickPeer(req.Service); ok {
@@ -359,7 +359,7 @@
 			}
 			continue
 		}
-		slot, err = dp.Table.Acquire(ctx, &req, func() bool { return dp.Mesh.Has(req.Service) })
+		slot, err = dp.Table.Acquire(ctx, &req, func() bool { return dp.Mesh.HasFreeSlot(req.Service) })
 	}
 	return dp.sendToEndpoint(ctx, slot, req)
 }
@@ -371,12 +371,12 @@
 	ans, err := dp.callAt(ctx, id, peerapi.EntryRun, req, postDeadlineWait(req))
 	switch {
 	case errkind.Is(err, peer.KindNotSent):
-		dp.Mesh.Exhausted(id, req.Service)
+		dp.Mesh.MarkExhausted(id, req.Service)
 		return weir.Response{}, true
 	case err != nil:
 		return weir.UnknownResponse("entry " + id + " did not answer"), false
 	case ans.Kind == weir.NotRun && ans.Reason == ReasonNoSlot:
-		dp.Mesh.Exhausted(id, req.Service)
+		dp.Mesh.MarkExhausted(id, req.Service)
 		return weir.Response{}, true
 	}
 	return ans, false
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -16,12 +16,12 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/peer"
 )
@@ -30,7 +30,7 @@
 type fakeMesh struct {
 	stores map[string]*ledger.Store
 	down   atomic.Bool
-	join   func(ctx context.Context, jo peerapi.Join) weir.Response
+	join   func(ctx context.Context, jo peerapi.JoinRequest) weir.Response
 }
 
 func (fm *fakeMesh) Call(ctx context.Context, id, method string, params, result any) error {
@@ -38,11 +38,11 @@
 		return &peer.Error{Op: method, Kind: peer.KindNotSent}
 	}
 	switch par := params.(type) {
-	case peerapi.Reserve:
+	case peerapi.ReserveRequest:
 		*result.(*peerapi.ReserveResponse) = fm.stores[id].Reserve(clock.System{}.Now(), par)
-	case peerapi.Finish:
+	case peerapi.FinishRequest:
 		fm.stores[id].Finish(par)
-	case peerapi.Join:
+	case peerapi.JoinRequest:
 		*result.(*weir.Response) = fm.join(ctx, par)
 	default:
 		return errors.New(method)
@@ -51,8 +51,8 @@
 }
 func (fm *fakeMesh) Ready(string) bool                        { return !fm.down.Load() }
 func (fm *fakeMesh) PickPeer(weir.ServiceName) (string, bool) { return "", false }
-func (fm *fakeMesh) Has(weir.ServiceName) bool                { return false }
-func (fm *fakeMesh) Exhausted(string, weir.ServiceName)       {}
+func (fm *fakeMesh) HasFreeSlot(weir.ServiceName) bool        { return false }
+func (fm *fakeMesh) MarkExhausted(string, weir.ServiceName)   {}
 
 // fixture is a dispatcher with its fake mesh.
 type fixture struct {
@@ -73,7 +73,7 @@
 	for _, id := range ids[:len(addrs)] {
 		vw.Members[id] = view.Member{Instance: id, Pool: "desk", Phase: view.Serving}
 	}
-	tb := placement.New(clk, "a")
+	tb := routing.New(clk, "a")
 	tb.SetView(vw)
 	for ix, addr := range addrs {
 		require.True(t, tb.Announce(endpoint.Announcement{Instance: ids[ix], Address: addr, State: endpoint.Serving}).Granted)
@@ -84,7 +84,7 @@
 		fm.stores[id] = ledger.NewStore(old, 10*time.Minute, 100)
 	}
 	return &fixture{mesh: fm, Dispatcher: &Dispatcher{
-		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{Entry: "a1", Zone: "a"}, {Entry: "a2", Zone: "a"}, {Entry: "a3", Zone: "a"}},
+		Self: "a1", Zone: "a", Entries: []ledger.EntryInstance{{ID: "a1", Zone: "a"}, {ID: "a2", Zone: "a"}, {ID: "a3", Zone: "a"}},
 		Table: tb, Mesh: fm, Store: fm.stores["a1"], Clock: clk,
 	}}
 }
@@ -274,13 +274,13 @@
 	fx := newFixture(t)
 	req := fx.request(t, false, true)
 	for _, id := range []string{"a1", "a2"} {
-		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.Reserve{Key: req.Key, Attempt: "a2/other"})
+		fx.mesh.stores[id].Reserve(fx.Clock.Now(), peerapi.ReserveRequest{Key: req.Key, Attempt: "a2/other"})
 	}
-	fx.mesh.join = func(ctx context.Context, _ peerapi.Join) weir.Response {
+	fx.mesh.join = func(ctx context.Context, _ peerapi.JoinRequest) weir.Response {
 		fx.mu.Lock()
 		ours := fx.attempts[req.Key].id
 		fx.mu.Unlock()
-		return fx.AwaitAttempt(ctx, peerapi.Join{Key: req.Key, Attempt: ours})
+		return fx.AwaitAttempt(ctx, peerapi.JoinRequest{Key: req.Key, Attempt: ours})
 	}
 	answered := make(chan weir.Response, 1)
 	go func() { answered <- fx.runKeyed(req) }()
--- a/internal/entry/ledger/group.go
+++ b/internal/entry/ledger/group.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/invariant"
 
 	weir "greengageweir"
 )
@@ -29,8 +29,8 @@
 
 // EntryInstance is an entry instance and its zone.
 type EntryInstance struct {
-	Entry string
-	Zone  weir.Zone
+	ID   string
+	Zone weir.Zone
 }
 
 // Replicas returns the entry instances that keep the ledger of a zone: up to
@@ -43,11 +43,11 @@
 		if sorted[a].Zone != sorted[b].Zone {
 			return precedes(sorted[a].Zone, zone, sorted[b].Zone)
 		}
-		return sorted[a].Entry < sorted[b].Entry
+		return sorted[a].ID < sorted[b].ID
 	})
 	ids := make([]string, 0, groupSize)
 	for _, ei := range sorted[:min(len(sorted), groupSize)] {
-		ids = append(ids, ei.Entry)
+		ids = append(ids, ei.ID)
 	}
 	return ids
 }
@@ -74,9 +74,9 @@
 type Claim struct {
 	// Won reports whether this attempt, and no other, may be dispatched.
 	Won bool
-	// Answer is the response to return if the claim is not won: the recorded
+	// Response is the response to return if the claim is not won: the recorded
 	// one, or "unknown".
-	Answer *weir.Response
+	Response *weir.Response
 	// Holder is the attempt that holds the key, if a replica named one.
 	Holder string
 
@@ -97,7 +97,7 @@
 	cl := &Claim{gr: gr, key: key, attempt: attempt}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	votes := gr.requestVotes(ctx, peerapi.Reserve{Key: key, Attempt: attempt})
+	votes := gr.requestVotes(ctx, peerapi.ReserveRequest{Key: key, Attempt: attempt})
 	majority := len(gr.Replicas)/2 + 1
 	granted, reason := 0, "too few ledger replicas answered"
 	for range gr.Replicas {
@@ -106,7 +106,7 @@
 		case peerapi.ReserveGranted:
 			granted++
 		case peerapi.ReserveRecorded:
-			cl.Answer = vt.answer.Answer
+			cl.Response = vt.answer.Recorded
 			cl.Holder = vt.answer.Attempt
 			return cl
 		case peerapi.ReserveHeld:
@@ -120,7 +120,7 @@
 		}
 	}
 	ans := weir.UnknownResponse(reason)
-	cl.Answer = &ans
+	cl.Response = &ans
 	// This attempt is not dispatched, so the replicas that granted it the key
 	// may free it.
 	go cl.finishAll(weir.NotRunResponse("not claimed"))
@@ -128,7 +128,7 @@
 }
 
 // requestVotes sends the reservation to all replicas at once.
-func (gr *Group) requestVotes(ctx context.Context, res peerapi.Reserve) <-chan vote {
+func (gr *Group) requestVotes(ctx context.Context, res peerapi.ReserveRequest) <-chan vote {
 	votes := make(chan vote, len(gr.Replicas))
 	for _, id := range gr.Replicas {
 		if id == gr.Self {
@@ -152,7 +152,7 @@
 func (cl *Claim) Finish(ctx context.Context, ans weir.Response) {
 	invariant.Check(cl.Won, "onlyWinnersFinish", "key", cl.key)
 	done := make(chan struct{}, len(cl.gr.Replicas))
-	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
+	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Response: ans}
 	for _, id := range cl.gr.Replicas {
 		go func() {
 			if cl.sendFinish(id, fin) {
@@ -176,7 +176,7 @@
 // finishAll sends the outcome to all replicas and waits for them. It does not
 // depend on the context of a request.
 func (cl *Claim) finishAll(ans weir.Response) {
-	fin := peerapi.Finish{Key: cl.key, Attempt: cl.attempt, Answer: ans}
+	fin := peerapi.FinishRequest{Key: cl.key, Attempt: cl.attempt, Response: ans}
 	var wg sync.WaitGroup
 	for _, id := range cl.gr.Replicas {
 		wg.Add(1)
@@ -190,7 +190,7 @@
 
 // sendFinish sends the outcome to one replica, with up to finishTries tries. It
 // reports whether the replica has it.
-func (cl *Claim) sendFinish(id string, fin peerapi.Finish) bool {
+func (cl *Claim) sendFinish(id string, fin peerapi.FinishRequest) bool {
 	if id == cl.gr.Self {
 		cl.gr.Store.Finish(fin)
 		return true
--- a/internal/entry/ledger/store.go
+++ b/internal/entry/ledger/store.go
@@ -24,8 +24,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 
 	weir "greengageweir"
 )
@@ -96,7 +96,7 @@
 
 // Reserve grants the key to an attempt, or returns the attempt that holds it,
 // its recorded response or the reason of a refusal.
-func (st *Store) Reserve(now time.Time, res peerapi.Reserve) peerapi.ReserveResponse {
+func (st *Store) Reserve(now time.Time, res peerapi.ReserveRequest) peerapi.ReserveResponse {
 	key, err := ParseKey(res.Key)
 	if err != nil {
 		return refused("bad key")
@@ -121,7 +121,7 @@
 
 func (rc record) response(attempt string) peerapi.ReserveResponse {
 	if rc.answer != nil {
-		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Answer: rc.answer}
+		return peerapi.ReserveResponse{State: peerapi.ReserveRecorded, Attempt: rc.attempt, Recorded: rc.answer}
 	}
 	if rc.attempt == attempt {
 		return peerapi.ReserveResponse{State: peerapi.ReserveGranted}
@@ -143,14 +143,14 @@
 
 // Finish records the outcome of an attempt. An attempt that did not run frees
 // the key for another one.
-func (st *Store) Finish(fin peerapi.Finish) {
+func (st *Store) Finish(fin peerapi.FinishRequest) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	rec, ok := st.records[fin.Key]
 	if !ok || rec.answer != nil {
 		return
 	}
-	if fin.Answer.Kind == weir.NotRun {
+	if fin.Response.Kind == weir.NotRun {
 		if rec.attempt == fin.Attempt && !rec.copied {
 			delete(st.records, fin.Key)
 		}
@@ -158,7 +158,7 @@
 	}
 	// Only the attempt that won the key can have run, so its outcome is recorded
 	// even if this replica granted the key to another attempt.
-	ans := fin.Answer
+	ans := fin.Response
 	if len(ans.Body) > maxRecordedBody {
 		ans.Body = nil
 		ans.Reason = "the recorded answer is without its body, which was too long to keep"
@@ -192,7 +192,7 @@
 	page := peerapi.DumpResponse{Floor: st.floor, More: len(keys) > dumpPageSize}
 	for _, key := range keys[:min(len(keys), dumpPageSize)] {
 		rec := st.records[key]
-		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Answer: rec.answer})
+		page.Records = append(page.Records, peerapi.Record{Key: key, Attempt: rec.attempt, Response: rec.answer})
 	}
 	return page
 }
@@ -208,10 +208,10 @@
 			continue
 		}
 		old, ok := st.records[rec.Key]
-		if ok && (old.answer != nil || rec.Answer == nil) {
+		if ok && (old.answer != nil || rec.Response == nil) {
 			continue
 		}
-		st.put(key, record{attempt: rec.Attempt, answer: rec.Answer, copied: true})
+		st.put(key, record{attempt: rec.Attempt, answer: rec.Response, copied: true})
 	}
 }
 
--- a/internal/entry/relay/relay.go
+++ b/internal/entry/relay/relay.go
@@ -11,8 +11,8 @@
 	"context"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/member/links"
 	"greengageweir/internal/member/roster"
@@ -105,7 +105,7 @@
 	if leader != "" && rl.Links.Ready(leader) {
 		ids = append(ids, leader)
 	}
-	for _, id := range rl.Roster.Holders() {
+	for _, id := range rl.Roster.ReplicaIDs() {
 		if id != leader && rl.Links.Ready(id) {
 			ids = append(ids, id)
 		}
--- a/internal/entry/placement/placement_test.go
+++ b/internal/entry/routing/routing_test.go
@@ -1,4 +1,4 @@
-package placement
+package routing
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/fleet/view"
 )
 
--- a/internal/entry/placement/table.go
+++ b/internal/entry/routing/table.go
@@ -1,16 +1,16 @@
-// Package placement assigns requests to endpoints. An entry instance uses only
+// Package routing assigns requests to endpoints. An entry instance uses only
 // endpoints that are leased to it, so that no two entry instances share the
 // slots of one endpoint. Requests that find no free slot wait in bounded
 // queues, one for each service and class, in which teams take turns.
 //
 // Usage:
 //
-//	tb := placement.New(clk, zone)
+//	tb := routing.New(clk, zone)
 //	tb.SetView(vw)
 //	resp := tb.Announce(announcement)
 //	slot, err := tb.Acquire(ctx, &req, nil)
-//	slot.Release(placement.Succeeded)
-package placement
+//	slot.Release(routing.Succeeded)
+package routing
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/fleet/view"
 	"greengageweir/internal/link/httpconn"
 
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -14,14 +14,14 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/ops"
 	"greengageweir/internal/contract/endpoint"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/ops"
 	"greengageweir/internal/entry/dispatch"
 	"greengageweir/internal/entry/ledger"
 	"greengageweir/internal/entry/mesh"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/link/peer"
 
 	"github.com/labstack/echo/v4"
@@ -43,7 +43,7 @@
 // fields before use.
 type PeerHandler struct {
 	Dispatcher *dispatch.Dispatcher
-	Table      *placement.Table
+	Table      *routing.Table
 	Store      *ledger.Store
 	Mesh       *mesh.Mesh
 	Clock      weir.Clock
@@ -78,26 +78,26 @@
 func (sv *PeerHandler) handleLedger(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peerapi.LedgerReserve:
-		var res peerapi.Reserve
+		var res peerapi.ReserveRequest
 		if err := call.Decode(&res); err != nil {
 			return nil, err
 		}
 		return sv.Store.Reserve(sv.Clock.Now(), res), nil
 	case peerapi.LedgerFinish:
-		var fin peerapi.Finish
+		var fin peerapi.FinishRequest
 		if err := call.Decode(&fin); err != nil {
 			return nil, err
 		}
 		sv.Store.Finish(fin)
 		return struct{}{}, nil
 	case peerapi.LedgerJoin:
-		var jo peerapi.Join
+		var jo peerapi.JoinRequest
 		if err := call.Decode(&jo); err != nil {
 			return nil, err
 		}
 		return sv.Dispatcher.AwaitAttempt(ctx, jo), nil
 	case peerapi.LedgerDump:
-		var du peerapi.Dump
+		var du peerapi.DumpRequest
 		if err := call.Decode(&du); err != nil {
 			return nil, err
 		}
@@ -115,7 +115,7 @@
 // the exported fields before Default.
 type AnnouncementServer struct {
 	Addr  string
-	Table *placement.Table
+	Table *routing.Table
 
 	listener net.Listener
 	server   *http.Server
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -34,11 +34,11 @@
 	Permit            *PermitGrant       `json:"permit,omitempty"`
 	Reboot            *RebootDone        `json:"reboot,omitempty"`
 	Release           *PermitRelease     `json:"release,omitempty"`
-	Stuck             *Stuck             `json:"stuck,omitempty"`
+	Stuck             *MarkStuck         `json:"stuck,omitempty"`
 	Retire            *Retire            `json:"retire,omitempty"`
 	Status            *StatusBatch       `json:"status,omitempty"`
 	Usage             *UsageBatch        `json:"usage,omitempty"`
-	Process           *Process           `json:"process,omitempty"`
+	Process           *ProcessUpdate     `json:"process,omitempty"`
 	Barrier           *Barrier           `json:"barrier,omitempty"`
 }
 
@@ -63,8 +63,8 @@
 
 // Move starts to move an instance to another pool. The instance is drained first.
 type Move struct {
-	Instance weir.InstanceID `json:"instance"`
-	To       weir.PoolName   `json:"to"`
+	Instance   weir.InstanceID `json:"instance"`
+	TargetPool weir.PoolName   `json:"to"`
 	// Lent marks a move that differs from the configuration on purpose. The
 	// leader does not move the instance back to its configured pool.
 	Lent bool `json:"lent,omitempty"`
@@ -132,8 +132,8 @@
 	Instance weir.InstanceID `json:"instance"`
 }
 
-// Stuck marks an instance that was not up again in time after its reboot.
-type Stuck struct {
+// MarkStuck marks an instance that was not up again in time after its reboot.
+type MarkStuck struct {
 	Instance weir.InstanceID `json:"instance"`
 }
 
@@ -181,9 +181,9 @@
 	Reports []UsageReport `json:"reports"`
 }
 
-// Process registers an entry instance, or removes one that has been shut down for
-// good.
-type Process struct {
+// ProcessUpdate registers an entry instance, or removes one that has been shut
+// down for good.
+type ProcessUpdate struct {
 	ID     string    `json:"id"`
 	Zone   weir.Zone `json:"zone"`
 	Forget bool      `json:"forget,omitempty"`
--- a/internal/fleet/fsm/drain.go
+++ b/internal/fleet/fsm/drain.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"greengageweir/internal/duty/invariant"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/fleet/command"
 	"greengageweir/internal/fleet/view"
 
@@ -48,14 +48,14 @@
 	if refusal != nil {
 		return *refusal
 	}
-	if _, ok := st.Config.Pools[mv.To]; !ok {
-		return refuse(command.RefusedNotFound, "no pool is named %s", mv.To)
+	if _, ok := st.Config.Pools[mv.TargetPool]; !ok {
+		return refuse(command.RefusedNotFound, "no pool is named %s", mv.TargetPool)
 	}
-	if mem.Pool == mv.To {
-		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.To)
+	if mem.Pool == mv.TargetPool {
+		return refuse(command.RefusedWrongState, "instance %s is in pool %s already", mv.Instance, mv.TargetPool)
 	}
 	mem.Purpose = view.ForMove
-	mem.TargetPool = mv.To
+	mem.TargetPool = mv.TargetPool
 	mem.Lent = mv.Lent
 	return st.startDrain(mem, cmd, ch)
 }
@@ -85,7 +85,7 @@
 	if !ok {
 		return refuse(command.RefusedNotFound, "no wave is named %s", pg.Wave)
 	}
-	if wave.State != WaveRunning || !wave.Todo[pg.Instance] {
+	if wave.State != WaveRunning || !wave.Pending[pg.Instance] {
 		return refuse(command.RefusedWrongState, "wave %s is %s or does not wait for %s", pg.Wave, wave.State, pg.Instance)
 	}
 	if len(wave.Active) >= wave.MaxParallel {
@@ -100,7 +100,7 @@
 	mem.Operation = fmt.Sprintf("%s/%s/%d", pg.Wave, pg.Instance, ch.index)
 	ans := st.startDrain(mem, cmd, ch)
 	if ans.Refusal == nil {
-		delete(wave.Todo, pg.Instance)
+		delete(wave.Pending, pg.Instance)
 		wave.Active[pg.Instance] = true
 	}
 	return ans
@@ -146,7 +146,7 @@
 	if wave, ok := st.Waves[mem.Wave]; ok {
 		delete(wave.Active, id)
 		if wave.State != WaveAborted {
-			wave.Todo[id] = true
+			wave.Pending[id] = true
 		}
 	}
 	if mem.Purpose == view.ForMove && mem.Pool == mem.ConfiguredPool {
--- a/internal/job/handler/follower_test.go
+++ b/internal/job/handler/follower_test.go
@@ -8,8 +8,8 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/clock"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/store"
@@ -32,7 +32,7 @@
 	st.Apply(1, data)
 	ask := func(leader fixedLeader, ann store.Worker) jobapi.Reply {
 		sv := &handler.Handler{
-			Self: "c1", Store: st, Owner: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
+			Self: "c1", Store: st, Scheduler: &scheduler.Scheduler{Store: st}, Leader: leader, Clock: clock.BootTime{}, Wall: clock.Wall{},
 			Links: &links.Links{Self: peer.Identity{ID: "c1"}}, Logger: log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/internal/job/handler/handler_test.go
+++ b/internal/job/handler/handler_test.go
@@ -14,12 +14,12 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/jobapi"
 	"greengageweir/internal/contract/jobhttp"
 	"greengageweir/internal/contract/taskapi"
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/run"
 	"greengageweir/internal/job/handler"
 	"greengageweir/internal/job/scheduler"
 	"greengageweir/internal/job/spec"
@@ -93,7 +93,7 @@
 	}
 	str.OnApplied = own.Wake
 	svc := &handler.Handler{
-		Self: self, Store: str, Committer: com, Owner: own, Leader: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
+		Self: self, Store: str, Committer: com, Scheduler: own, Leader: nod, Links: lks, Clock: steady, Wall: wall, Logger: lg,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -114,14 +114,14 @@
 	}
 }
 
-func (sy *system) do(method, path string, body any) (jobhttp.Answer, error) {
+func (sy *system) do(method, path string, body any) (jobhttp.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	ans, _, err := sy.cl.Do(ctx, method, path, body)
 	return ans, err
 }
 
-func (sy *system) mustDo(method, path string, body any) jobhttp.Answer {
+func (sy *system) mustDo(method, path string, body any) jobhttp.Response {
 	ans, err := sy.do(method, path, body)
 	require.NoError(sy.t, err)
 	return ans
--- a/internal/job/scheduler/blocking_step_test.go
+++ b/internal/job/scheduler/blocking_step_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
@@ -30,7 +30,7 @@
 
 type alwaysLeader struct{}
 
-func (alwaysLeader) Leads() bool { return true }
+func (alwaysLeader) IsLeader() bool { return true }
 
 // threeLongRunningTasks returns a scheduler with sessions to the workers w0, w1
 // and w2, each of which runs one long-running task of the same step. One task of
@@ -56,9 +56,9 @@
 		apply(store.Change{Join: &wk})
 		apply(store.Change{Start: &store.RunStart{Task: key.Task, Run: 1, Worker: wk.ID, Incarnation: 1}})
 		ss := &session.Session{
-			Worker: weir.WorkerIncarnation{ID: wk.ID, Born: 1}, Lease: time.Second, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {},
+			Worker: weir.WorkerIncarnation{ID: wk.ID, Incarnation: 1}, Lease: time.Second, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {},
 			Workers: staticWorkers{reports: map[weir.InstanceID]weir.WorkerReport{wk.ID: {
-				Clock: time.Hour, Born: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
+				Clock: time.Hour, Incarnation: 1, Running: []weir.RunningTask{{RunKey: key, Percent: percent[id]}},
 			}}},
 		}
 		require.NoError(t, ss.Default())
--- a/internal/job/scheduler/machines.go
+++ b/internal/job/scheduler/machines.go
@@ -169,7 +169,7 @@
 	rd.EachMachineOperation(func(op store.MachineOperation) {
 		if !mst.inFlight[op.Machine] && now.Sub(mst.lastOrderAt[op.Machine]) >= orderRetryInterval && sc.mayOrder(ls, rd, op.Machine, now) {
 			orders = append(orders, weir.MachineOrder{
-				Machine: op.Machine, Holder: sc.HolderName, Token: ls.term, Wave: op.Wave, Pool: op.Pool,
+				Machine: op.Machine, LeaseHolder: sc.LeaseHolder, Token: ls.term, Wave: op.Wave, Pool: op.Pool,
 			})
 		}
 	})
@@ -232,7 +232,7 @@
 
 func (sc *Scheduler) candidate(ls *leaderState, rd store.Reader, machine string, wk store.Worker) candidate {
 	ca := candidate{machine: machine, worker: wk.ID, pool: wk.Pool, cordoned: ls.machines.cordoned(machine)}
-	load := rd.Load(wk.ID)
+	load := rd.WorkerLoad(wk.ID)
 	ca.batchRuns, ca.longRunning = load.Batch, load.LongRunning
 	return ca
 }
@@ -242,7 +242,7 @@
 	defer sc.Wake()
 	callCtx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	if !sc.Leadership.Leads() {
+	if !sc.Leadership.IsLeader() {
 		sc.recordMachineResponse(ls, order, nil)
 		return
 	}
--- a/internal/job/scheduler/place.go
+++ b/internal/job/scheduler/place.go
@@ -104,7 +104,7 @@
 	if js.Task(pl.Task) == nil || !js.GangComplete(key) {
 		return
 	}
-	order := weir.RunOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
+	order := weir.StartOrder{RunKey: key, Text: js.Spec.Text, Checkpoint: js.Checkpoint(pl.Task)}
 	if ad := ls.advice[pl.Task.StepRef()]; ad != nil {
 		order.Ticket = ad.tickets[pl.Worker]
 	}
@@ -166,7 +166,7 @@
 					continue
 				}
 				gr.RemainingWork = remainingWork(js, oc)
-				if qu.Advice != nil {
+				if qu.Adviser != nil {
 					if gr.AllowedWorkers = sc.tickets(ctx, ls, rd, gr.Step, qu); gr.AllowedWorkers == nil {
 						continue
 					}
@@ -274,7 +274,7 @@
 			continue
 		}
 		pw := placement.Worker{ID: id, Incarnation: wk.Incarnation, Pool: wk.Pool, Kind: wk.Kind, Rack: wk.Rack, Free: wk.Capacity, Suspect: hl.suspect(now)}
-		load := rd.Load(id)
+		load := rd.WorkerLoad(id)
 		pw.Free, pw.Serving, pw.BestEffort = wk.Capacity.Minus(load.Used), load.Serving, load.BestEffort
 		workers = append(workers, pw)
 	}
--- a/internal/job/scheduler/reconcile_test.go
+++ b/internal/job/scheduler/reconcile_test.go
@@ -10,7 +10,7 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
@@ -29,7 +29,7 @@
 }
 
 func (wk *fakeWorker) Renew(context.Context, weir.WorkerIncarnation, weir.RenewOrder) (weir.WorkerReport, error) {
-	return weir.WorkerReport{Clock: time.Hour, Born: 1, Running: wk.running}, nil
+	return weir.WorkerReport{Clock: time.Hour, Incarnation: 1, Running: wk.running}, nil
 }
 
 func (wk *fakeWorker) Stop(_ context.Context, _ weir.WorkerIncarnation, key weir.RunKey, _ uint64) (weir.OrderResponse, error) {
@@ -53,7 +53,7 @@
 	ls := &leaderState{sessions: map[weir.InstanceID]*workerSession{}, pendingStarts: map[weir.RunKey]bool{}, evicted: map[weir.RunKey]bool{}}
 	ws := &workerSession{worker: store.Worker{ID: "w0", Incarnation: 1}}
 	ws.session = &session.Session{
-		Worker: weir.WorkerIncarnation{ID: "w0", Born: 1}, Lease: time.Minute, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
+		Worker: weir.WorkerIncarnation{ID: "w0", Incarnation: 1}, Lease: time.Minute, Leadership: alwaysLeader{}, Clock: clock.BootTime{}, OnChange: func() {}, Workers: wk,
 	}
 	require.NoError(t, ws.session.Default())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/job/scheduler/scheduler.go
+++ b/internal/job/scheduler/scheduler.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/jobapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/job/store"
 	"greengageweir/internal/task/session"
 
@@ -57,11 +57,13 @@
 	priorLeaderGrace = time.Second
 )
 
-// Leadership reports whether this process is certain to lead, and in which term.
-type Leadership interface {
+// TermLeadership reports whether this process is certain to lead, and in which
+// term.
+type TermLeadership interface {
 	weir.Leadership
-	// Term returns the term in which this process leads, 0 if it does not lead.
-	Term() uint64
+	// LeaderTerm returns the term in which this process leads, 0 if it does not
+	// lead.
+	LeaderTerm() uint64
 }
 
 // Scheduler places tasks on workers and orders machines while its process leads.
@@ -69,7 +71,7 @@
 type Scheduler struct {
 	Store      *store.Store
 	Committer  *Committer
-	Leadership Leadership
+	Leadership TermLeadership
 	Workers    weir.TaskWorkers
 	// Machines is the platform that maintains and moves machines; nil disables
 	// maintenance and moves.
@@ -91,8 +93,8 @@
 	// OnLeadershipChange is called when this process gains or loses leadership;
 	// it may be nil.
 	OnLeadershipChange func(leads bool)
-	// HolderName identifies this process to the machine platform.
-	HolderName string
+	// LeaseHolder identifies this process to the machine platform.
+	LeaseHolder string
 	// MachineOrderDelay is how long after an election, or after an earlier
 	// leader's order for a machine, this leader sends that machine no order.
 	MachineOrderDelay time.Duration
@@ -184,7 +186,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if term := sc.Leadership.Term(); term != 0 {
+			if term := sc.Leadership.LeaderTerm(); term != 0 {
 				sc.runTerm(ctx, term)
 			}
 		}
@@ -194,7 +196,7 @@
 // runTerm runs scheduling rounds until the term ends.
 func (sc *Scheduler) runTerm(ctx context.Context, term uint64) {
 	// Once an entry of this term is applied, all earlier entries are applied too.
-	if _, err := sc.Committer.Commit(ctx, store.Change{}); err != nil || sc.Leadership.Term() != term {
+	if _, err := sc.Committer.Commit(ctx, store.Change{}); err != nil || sc.Leadership.LeaderTerm() != term {
 		return
 	}
 	leadCtx, cancel := context.WithCancel(ctx)
@@ -215,7 +217,7 @@
 	ticker := time.NewTicker(maxRoundInterval)
 	defer ticker.Stop()
 	all := true
-	for ctx.Err() == nil && sc.Leadership.Term() == term {
+	for ctx.Err() == nil && sc.Leadership.LeaderTerm() == term {
 		begin := sc.Clock.Now()
 		sc.round(leadCtx, ls, begin, all)
 		took := sc.Clock.Now().Sub(begin)
@@ -243,7 +245,7 @@
 func (sc *Scheduler) Ready() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.leader != nil && sc.Leadership.Leads()
+	return sc.leader != nil && sc.Leadership.IsLeader()
 }
 
 // RecordAnnouncement records that a worker announced itself at the time now. It
@@ -355,7 +357,7 @@
 	ssCtx, cancel := context.WithCancel(ctx)
 	ws := &workerSession{worker: wk, cancel: cancel, announcedAt: now}
 	ws.session = &session.Session{
-		Worker: weir.WorkerIncarnation{ID: wk.ID, Born: wk.Incarnation, Address: wk.Address},
+		Worker: weir.WorkerIncarnation{ID: wk.ID, Incarnation: wk.Incarnation, Address: wk.Address},
 		Token:  ls.term, Lease: sc.Lease, Workers: sc.Workers, Leadership: sc.Leadership, Clock: sc.Clock, Logger: sc.Logger,
 		PriorLeaseExpiry: ls.since.Add(priorLeaderGrace + sc.Lease + sc.Lease/20),
 	}
@@ -384,7 +386,7 @@
 	}
 	var placed []session.PlacedRun
 	sc.Store.Read(func(rd store.Reader) {
-		for key := range rd.Runs(id) {
+		for key := range rd.WorkerRuns(id) {
 			if ls.pendingStarts[key] {
 				continue // committed, but not ordered yet
 			}
--- a/internal/job/scheduler/throttle.go
+++ b/internal/job/scheduler/throttle.go
@@ -57,7 +57,7 @@
 }
 
 func (sc *Scheduler) throttleWorker(ls *leaderState, rd store.Reader, id weir.InstanceID, ws *workerSession) {
-	if rd.Load(id).BestEffort == 0 {
+	if rd.WorkerLoad(id).BestEffort == 0 {
 		delete(ls.throttles, id)
 		return
 	}
@@ -74,7 +74,7 @@
 		case step.BestEffort:
 			bestEffort = append(bestEffort, rt.RunKey)
 		case step.LongRunning && step.TargetLatency > 0:
-			worst = max(worst, rt.Rough/float64(step.TargetLatency.Milliseconds()))
+			worst = max(worst, rt.Measurement/float64(step.TargetLatency.Milliseconds()))
 		}
 	}
 	th := ls.throttles[id]
--- a/internal/job/store/store.go
+++ b/internal/job/store/store.go
@@ -17,9 +17,9 @@
 	"sync"
 	"time"
 
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/invariant"
 	"greengageweir/internal/config/catalog"
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/invariant"
 	"greengageweir/internal/job/spec"
 
 	weir "greengageweir"
--- a/internal/link/httpconn/httpconn_test.go
+++ b/internal/link/httpconn/httpconn_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 )
 
 // serveScript starts a server that handles each connection with the given function,
--- a/internal/link/peer/client.go
+++ b/internal/link/peer/client.go
@@ -36,7 +36,7 @@
 // Default validates the settings.
 func (cl *Client) Default() error {
 	if cl.Addr == "" || cl.Token == "" {
-		return &Error{Op: "peer client", Kind: KindDenied, Err: errors.New("address or token missing")}
+		return &Error{Op: "peer client", Kind: KindInvalidSettings, Err: errors.New("address or token missing")}
 	}
 	return nil
 }
@@ -122,8 +122,8 @@
 func (cl *Client) Connected() bool { return cl.Conn() != nil }
 
 // Call sends a request and waits for its result. The error is of KindNotSent if the
-// link is down, of KindRemote if the other side returned an error and of KindLost if
-// the request may have been handled.
+// link is down, of KindRemote if the other side returned an error and of
+// KindReplyLost if the request may have been handled.
 func (cl *Client) Call(ctx context.Context, method string, params, result any) error {
 	conn := cl.Conn()
 	if conn == nil {
@@ -139,7 +139,7 @@
 	}
 	// The library does not report whether the request was sent before the link
 	// broke.
-	return &Error{Op: method, Kind: KindLost, Err: err}
+	return &Error{Op: method, Kind: KindReplyLost, Err: err}
 }
 
 // Notify sends a notification; it is dropped if the link is down.
@@ -149,7 +149,7 @@
 		return &Error{Op: method, Kind: KindNotSent}
 	}
 	if err := conn.Notify(ctx, method, params); err != nil {
-		return &Error{Op: method, Kind: KindLost, Err: err}
+		return &Error{Op: method, Kind: KindReplyLost, Err: err}
 	}
 	return nil
 }
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/clock"
+	"greengageweir/internal/common/errkind"
 )
 
 const testToken = "a-token-of-the-test"
--- a/internal/maintenance/wave/wave.go
+++ b/internal/maintenance/wave/wave.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if !back && !mem.Stuck && pl.now.Sub(mem.SinceAt) > ReturnTimeout {
-		pl.add(command.Command{Stuck: &command.Stuck{Instance: mem.Instance}})
+		pl.add(command.Command{Stuck: &command.MarkStuck{Instance: mem.Instance}})
 	}
 }
 
@@ -147,7 +147,7 @@
 			pl.add(command.Command{Retire: &command.Retire{Instance: mem.Instance}})
 			continue
 		}
-		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, To: mem.ConfiguredPool}})
+		pl.add(command.Command{Move: &command.Move{Instance: mem.Instance, TargetPool: mem.ConfiguredPool}})
 	}
 }
 
@@ -174,8 +174,8 @@
 }
 
 func (pl *planner) candidates(wv *fsm.Wave) []weir.InstanceID {
-	ids := make([]weir.InstanceID, 0, len(wv.Todo))
-	for id := range wv.Todo {
+	ids := make([]weir.InstanceID, 0, len(wv.Pending))
+	for id := range wv.Pending {
 		mem, ok := pl.rd.Members()[id]
 		if ok && mem.Phase == view.Serving && pl.rd.Statuses()[id].Up {
 			ids = append(ids, id)
--- a/internal/member/links/links.go
+++ b/internal/member/links/links.go
@@ -14,8 +14,8 @@
 	"context"
 	"sync"
 
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/contract/peerapi"
-	"greengageweir/internal/duty/errkind"
 	"greengageweir/internal/link/peer"
 	"greengageweir/internal/state/replica"
 
@@ -65,7 +65,7 @@
 	raftQueue chan replica.Message
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (ls *Links) String() string { return "member links" }
 
 // Default adds the processes in Addrs.
--- a/internal/member/roster/roster.go
+++ b/internal/member/roster/roster.go
@@ -5,9 +5,9 @@
 //
 // Usage:
 //
-//	ro := &roster.Roster{Self: id, HoldsLog: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
+//	ro := &roster.Roster{Self: id, IsReplica: true, Seeds: seeds, Links: ls, Log: nd, Voters: 3}
 //	go ro.Run(ctx)
-//	rep := ro.HandleIntroduction(req) // handles jobapi.DirectoryMethod
+//	rep := ro.HandleDirectoryRequest(req) // handles jobapi.DirectoryMethod
 package roster
 
 import (
@@ -42,17 +42,17 @@
 type Log interface {
 	WithCore(ctx context.Context, fn func(now time.Time, core *replica.Core)) error
 	LeaderID() string
-	Term() uint64
+	LeaderTerm() uint64
 }
 
 // Roster is the directory of known replicas. Set the exported fields before Run.
 type Roster struct {
 	// Self is this process's id, which is also its peer address.
 	Self string
-	// HoldsLog is set if this process holds a replica of the log.
-	HoldsLog bool
-	Seeds    []string
-	Links    *links.Links
+	// IsReplica is set if this process holds a replica of the log.
+	IsReplica bool
+	Seeds     []string
+	Links     *links.Links
 	// Log is nil if this process holds no replica.
 	Log Log
 	// Voters is the target number of voters.
@@ -64,13 +64,13 @@
 	leader   string
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (ro *Roster) String() string { return "roster" }
 
 // Default adds the seeds to the directory.
 func (ro *Roster) Default() error {
 	ro.replicas = map[string]bool{}
-	if ro.HoldsLog {
+	if ro.IsReplica {
 		ro.replicas[ro.Self] = true
 	}
 	for _, id := range ro.Seeds {
@@ -99,9 +99,9 @@
 	}
 }
 
-// Holders returns the ids of the known processes that hold a replica of the log,
-// sorted.
-func (ro *Roster) Holders() []string {
+// ReplicaIDs returns the sorted ids of the known processes that hold a replica of
+// the log.
+func (ro *Roster) ReplicaIDs() []string {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return slices.Sorted(maps.Keys(ro.replicas))
@@ -124,9 +124,9 @@
 	ro.leader = id
 }
 
-// HandleIntroduction returns the directory to another process, and adds that
+// HandleDirectoryRequest returns the directory to another process, and adds that
 // process if it holds a replica.
-func (ro *Roster) HandleIntroduction(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
+func (ro *Roster) HandleDirectoryRequest(in jobapi.DirectoryRequest) jobapi.DirectoryReply {
 	ro.mu.Lock()
 	if in.Replica {
 		ro.addReplica(in.ID)
@@ -143,14 +143,14 @@
 	var changed time.Time
 	for ctx.Err() == nil {
 		ro.queryAll(ctx)
-		if ro.Log != nil && ro.Log.Term() != 0 {
+		if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 			changed = ro.reconcileVoters(ctx, changed)
 		}
 		pause := fastQueryInterval
 		if ro.Leader() != "" {
 			pause = slowQueryInterval
 		}
-		if ro.Log != nil && ro.Log.Term() != 0 {
+		if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 			pause = voterChangeInterval
 		}
 		timer := time.NewTimer(pause)
@@ -164,12 +164,12 @@
 }
 
 func (ro *Roster) queryAll(ctx context.Context) {
-	if ro.Log != nil && ro.Log.Term() != 0 {
+	if ro.Log != nil && ro.Log.LeaderTerm() != 0 {
 		// The other processes query the leader, which adds them to its directory.
 		return
 	}
 	var wg sync.WaitGroup
-	for _, id := range ro.Holders() {
+	for _, id := range ro.ReplicaIDs() {
 		if id != ro.Self && ro.Links.Ready(id) {
 			wg.Go(func() { ro.query(ctx, id) })
 		}
@@ -181,7 +181,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var list jobapi.DirectoryReply
-	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.HoldsLog, ID: ro.Self}, &list); err != nil {
+	if err := ro.Links.Call(callCtx, id, jobapi.DirectoryMethod, jobapi.DirectoryRequest{Replica: ro.IsReplica, ID: ro.Self}, &list); err != nil {
 		_ = ro.Logger.Log("level", "debug", "msg", "directory query failed", "peer", id, "err", err)
 		return
 	}
@@ -199,7 +199,7 @@
 // the next membership change, if one is due. It returns the time of the last
 // change.
 func (ro *Roster) reconcileVoters(ctx context.Context, changed time.Time) time.Time {
-	replicas := ro.Holders()
+	replicas := ro.ReplicaIDs()
 	err := ro.Log.WithCore(ctx, func(now time.Time, core *replica.Core) {
 		for _, id := range replicas {
 			core.AddNonVoter(now, id)
--- a/internal/standin/peaks/peaks.go
+++ b/internal/standin/peaks/peaks.go
@@ -17,10 +17,10 @@
 	"time"
 
 	weir "greengageweir"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/duty/clock"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/view"
 )
 
@@ -130,7 +130,7 @@
 	req     *weir.Request
 	arrived time.Duration
 	ends    time.Duration
-	slot    *placement.Slot
+	slot    *routing.Slot
 }
 
 // runHeap orders running requests by their end.
@@ -159,7 +159,7 @@
 // simulation is the state of one run.
 type simulation struct {
 	clk        *clock.Manual
-	tb         *placement.Table
+	tb         *routing.Table
 	vw         view.View
 	policy     Policy
 	demand     Demand
@@ -237,7 +237,7 @@
 		}
 	}
 	sm.vw.Config = cfg
-	sm.tb = placement.New(sm.clk, "zone")
+	sm.tb = routing.New(sm.clk, "zone")
 	sm.tb.SetView(sm.vw)
 	sm.announce()
 }
@@ -255,7 +255,7 @@
 	}
 	for len(sm.running) > 0 && sm.running[0].ends <= sm.at {
 		done, _ := heap.Pop(&sm.running).(*queuedRequest)
-		done.slot.Release(placement.Succeeded)
+		done.slot.Release(routing.Succeeded)
 		sm.busy[serviceOf(done.req)]--
 	}
 	if sm.policy == Reactive {
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -19,8 +19,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"greengageweir/internal/duty/errkind"
-	"greengageweir/internal/duty/ops"
+	"greengageweir/internal/common/errkind"
+	"greengageweir/internal/common/ops"
 )
 
 // Kind classifies the errors of this package.
--- a/internal/standin/slopes/measure.go
+++ b/internal/standin/slopes/measure.go
@@ -8,7 +8,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/config/model"
 	"greengageweir/internal/contract/endpoint"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/fleet/command"
 	fleet "greengageweir/internal/fleet/fsm"
 	"greengageweir/internal/fleet/view"
@@ -125,8 +125,8 @@
 }
 
 // newTable returns a placement table with the view of size instances.
-func (ms *measurer) newTable(size int) *placement.Table {
-	tb := placement.New(ms.clk, "zone-00")
+func (ms *measurer) newTable(size int) *routing.Table {
+	tb := routing.New(ms.clk, "zone-00")
 	tb.SetView(ms.newFleet(size, nil).View())
 	return tb
 }
--- a/internal/standin/slopes/measure_entry.go
+++ b/internal/standin/slopes/measure_entry.go
@@ -11,7 +11,7 @@
 	weir "greengageweir"
 	"greengageweir/internal/contract/peerapi"
 	"greengageweir/internal/entry/ledger"
-	"greengageweir/internal/entry/placement"
+	"greengageweir/internal/entry/routing"
 	"greengageweir/internal/entry/serve"
 	"greengageweir/internal/standin/worker"
 )
@@ -60,7 +60,7 @@
 
 func (ms *measurer) entryHeap() Slope {
 	return measureSeries("entry heap, view and announced workers", "worker", "bytes", workerSizes, func(size int) float64 {
-		tb, heap := heapBytes(func() *placement.Table {
+		tb, heap := heapBytes(func() *routing.Table {
 			tb := ms.newTable(size)
 			for ix := range size {
 				tb.Announce(newAnnouncement(ix))
@@ -94,8 +94,8 @@
 	for ix := range count {
 		key, err := ledger.NewKey("zone-00", now)
 		ms.check(err)
-		st.Reserve(now, peerapi.Reserve{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
-		st.Finish(peerapi.Finish{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Answer: weir.Response{
+		st.Reserve(now, peerapi.ReserveRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix)})
+		st.Finish(peerapi.FinishRequest{Key: key, Attempt: fmt.Sprintf("entry-00/%d", ix), Response: weir.Response{
 			Kind: weir.Complete, Status: 200, ContentType: "application/json", Body: make([]byte, 120),
 		}})
 	}
@@ -123,7 +123,7 @@
 		}
 		return cpuMicros(count, func() {
 			for _, key := range list {
-				st.Reserve(now, peerapi.Reserve{Key: key, Attempt: "entry-00/x"})
+				st.Reserve(now, peerapi.ReserveRequest{Key: key, Attempt: "entry-00/x"})
 			}
 		})
 	})
--- a/internal/standin/slopes/measure_rollout.go
+++ b/internal/standin/slopes/measure_rollout.go
@@ -40,7 +40,7 @@
 		for !cl.Connected() {
 			time.Sleep(time.Millisecond)
 		}
-		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.Subscribe{}, nil))
+		ms.check(cl.Call(ctx, peerapi.ViewSubscribe, peerapi.SubscribeRequest{}, nil))
 	}
 	delta := poolChange(fleetConfig(0), 1)
 	begin := ms.clk.Now()
--- a/internal/standin/worker/host.go
+++ b/internal/standin/worker/host.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
+	"greengageweir/internal/common/ops"
+	"greengageweir/internal/common/run"
 	"greengageweir/internal/contract/platform"
-	"greengageweir/internal/duty/ops"
-	"greengageweir/internal/duty/run"
 
 	"github.com/go-kit/log"
 	"github.com/labstack/echo/v4"
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	var body platform.Reboot
+	var body platform.RebootRequest
 	if err := ctx.Bind(&body); err != nil {
 		return err
 	}
--- a/internal/state/node/node.go
+++ b/internal/state/node/node.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"greengageweir/internal/duty/errkind"
+	"greengageweir/internal/common/errkind"
 	"greengageweir/internal/state/replica"
 	"greengageweir/internal/state/wal"
 
@@ -114,7 +114,7 @@
 	err   error
 }
 
-// String returns the name of the step in logs.
+// String returns the name of the component in logs.
 func (nd *Node) String() string { return "replicated log" }
 
 // Default sets defaults and validates the settings.
@@ -372,8 +372,9 @@
 	return nd.status
 }
 
-// Term returns the term in which this member is the leader, 0 if it is not.
-func (nd *Node) Term() uint64 {
+// LeaderTerm returns the term in which this member is the leader, 0 if it is
+// not.
+func (nd *Node) LeaderTerm() uint64 {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	if nd.status.Role != replica.Leader {
@@ -382,10 +383,10 @@
 	return nd.status.Term
 }
 
-// Leads reports whether this member is the leader and its leader lease has not
-// expired. It reads the clock, since the process may have been suspended since
-// the last tick.
-func (nd *Node) Leads() bool {
+// IsLeader reports whether this member is the leader and its leader lease has
+// not expired. It reads the clock, since the process may have been suspended
+// since the last tick.
+func (nd *Node) IsLeader() bool {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return nd.status.Role == replica.Leader && nd.Clock.Now().Before(nd.leaseUntil)
--- a/internal/task/session/model_test.go
+++ b/internal/task/session/model_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log"
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/spec"
 	"greengageweir/internal/job/store"
 
@@ -66,7 +66,7 @@
 	delete(mw.runs, key)
 	mw.last[key.Task] = max(mw.last[key.Task], key.Run)
 	mw.number++
-	mw.ends = append(mw.ends, weir.RunEnd{RunKey: key, Number: mw.number, How: string(how)})
+	mw.ends = append(mw.ends, weir.RunEnd{RunKey: key, Number: mw.number, Reason: string(how)})
 }
 
 // simulation holds the state of one sequence of actions. It is the sessions'
@@ -117,7 +117,7 @@
 	sm.sessions = nil
 	for _, mw := range sm.workers {
 		ss := &Session{
-			Worker: weir.WorkerIncarnation{ID: mw.id, Born: 1}, Token: sm.term, Lease: exploreLease, Workers: sm, Leadership: alwaysLeader{}, Clock: sm.clk,
+			Worker: weir.WorkerIncarnation{ID: mw.id, Incarnation: 1}, Token: sm.term, Lease: exploreLease, Workers: sm, Leadership: alwaysLeader{}, Clock: sm.clk,
 			Logger: log.NewNopLogger(), OnChange: func() {}, PriorLeaseExpiry: sm.clk.Now().Add(time.Second + exploreLease + exploreLease/20),
 		}
 		require.NoError(sm.t, ss.Default())
@@ -151,7 +151,7 @@
 }
 
 // Start implements weir.TaskWorkers.
-func (sm *simulation) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (sm *simulation) Start(_ context.Context, inc weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	mw := sm.worker(inc)
 	return sm.deliver(func() weir.OrderResponse {
 		now := sm.clk.Now()
@@ -226,7 +226,7 @@
 			mw.ends = mw.ends[1:]
 		}
 	}
-	rep := weir.WorkerReport{Clock: mw.clock(now), Born: 1, Ends: append([]weir.RunEnd(nil), mw.ends...)}
+	rep := weir.WorkerReport{Clock: mw.clock(now), Incarnation: 1, Ends: append([]weir.RunEnd(nil), mw.ends...)}
 	for key := range mw.runs {
 		rep.Running = append(rep.Running, weir.RunningTask{RunKey: key})
 	}
@@ -235,7 +235,7 @@
 
 // checkAcknowledged checks that an acknowledged end is committed.
 func (sm *simulation) checkAcknowledged(en weir.RunEnd) {
-	if en.How != string(store.EndDone) {
+	if en.Reason != string(store.EndDone) {
 		return
 	}
 	sm.doneEnds++
--- a/internal/task/session/orders.go
+++ b/internal/task/session/orders.go
@@ -10,7 +10,7 @@
 )
 
 // Start queues the order to start a run. The placement must be committed before.
-func (ss *Session) Start(order weir.RunOrder) {
+func (ss *Session) Start(order weir.StartOrder) {
 	ss.mu.Lock()
 	ss.runs[order.RunKey] = &runState{sentAt: ss.Clock.Now()}
 	ss.mu.Unlock()
@@ -38,7 +38,7 @@
 	ss.OnChange()
 }
 
-func (ss *Session) sendStart(ctx context.Context, order weir.RunOrder) {
+func (ss *Session) sendStart(ctx context.Context, order weir.StartOrder) {
 	ss.mu.Lock()
 	rn := ss.runs[order.RunKey]
 	skip := rn == nil || rn.unwanted || ss.otherIncarnation || !ss.unreachableSince.IsZero()
@@ -53,7 +53,7 @@
 		ss.markNotSent(order.RunKey)
 		return
 	}
-	if !ss.Leadership.Leads() {
+	if !ss.Leadership.IsLeader() {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -87,7 +87,7 @@
 	}
 	rn.stopSentAt = now
 	ss.enqueue(func(ctx context.Context) {
-		if !ss.Leadership.Leads() {
+		if !ss.Leadership.IsLeader() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -112,7 +112,7 @@
 // percent.
 func (ss *Session) Throttle(key weir.RunKey, percent int) {
 	ss.enqueue(func(ctx context.Context) {
-		if !ss.Leadership.Leads() {
+		if !ss.Leadership.IsLeader() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/task/session/reports.go
+++ b/internal/task/session/reports.go
@@ -22,7 +22,7 @@
 // renewOnce sends one renewal and applies the report. fresh is set if the report
 // lists new ends.
 func (ss *Session) renewOnce(ctx context.Context) (answered, fresh bool) {
-	if !ss.Leadership.Leads() {
+	if !ss.Leadership.IsLeader() {
 		return false, false
 	}
 	ss.mu.Lock()
@@ -93,7 +93,7 @@
 func (ss *Session) applyReport(sentAt time.Time, rep weir.WorkerReport) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	if rep.Born != 0 && rep.Born != ss.Worker.Born {
+	if rep.Incarnation != 0 && rep.Incarnation != ss.Worker.Incarnation {
 		ss.otherIncarnation = true
 		return true
 	}
--- a/internal/task/session/session_test.go
+++ b/internal/task/session/session_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"greengageweir/internal/duty/clock"
+	"greengageweir/internal/common/clock"
 	"greengageweir/internal/job/store"
 
 	weir "greengageweir"
@@ -48,7 +48,7 @@
 	return rep, nil
 }
 
-func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.RunOrder) (weir.OrderResponse, error) {
+func (fw *fakeWorker) Start(_ context.Context, _ weir.WorkerIncarnation, order weir.StartOrder) (weir.OrderResponse, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.starts = append(fw.starts, order.RunKey)
@@ -64,13 +64,13 @@
 
 type alwaysLeader struct{}
 
-func (alwaysLeader) Leads() bool { return true }
+func (alwaysLeader) IsLeader() bool { return true }
 
 func newSession(t *testing.T) (*Session, *fakeWorker) {
 	clk := clock.NewManual(time.Unix(100, 0))
 	fw := &fakeWorker{clk: clk}
 	ss := &Session{
-		Worker: weir.WorkerIncarnation{ID: "w1", Born: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: alwaysLeader{},
+		Worker: weir.WorkerIncarnation{ID: "w1", Incarnation: 1, Address: "w1"}, Token: 7, Lease: testLease, Workers: fw, Leadership: alwaysLeader{},
 		Clock: clk, OnChange: func() {},
 	}
 	require.NoError(t, ss.Default())
@@ -113,7 +113,7 @@
 	ctx := context.Background()
 	ss, fw := newSession(t)
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, How: string(store.EndDone)}}
+	fw.reports.Ends = []weir.RunEnd{{RunKey: key, Number: 1, Reason: string(store.EndDone)}}
 	require.True(t, ss.applyReport(fw.clk.Now(), fw.reports))
 	placed := []PlacedRun{{Key: key, Wanted: true}}
 	require.Len(t, ss.Reconcile(fw.clk.Now(), placed).Ends, 1)
@@ -133,7 +133,7 @@
 	ss, fw := newSession(t)
 	key := func(ix int) weir.RunKey { return weir.RunKey{Task: weir.TaskRef{Job: "a", Index: ix}, Run: 1} }
 	end := func(ix int) weir.RunEnd {
-		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), How: string(store.EndDone)}
+		return weir.RunEnd{RunKey: key(ix), Number: int64(ix), Reason: string(store.EndDone)}
 	}
 	placed := []PlacedRun{{Key: key(1), Wanted: true}, {Key: key(2), Wanted: true}}
 	ss.applyReport(fw.clk.Now(), weir.WorkerReport{Ends: []weir.RunEnd{end(1)}})
@@ -154,7 +154,7 @@
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	ss.Start(weir.RunOrder{RunKey: key})
+	ss.Start(weir.StartOrder{RunKey: key})
 	ss.Reconcile(fw.clk.Now(), []PlacedRun{{Key: key}})
 	for len(ss.orders) > 0 {
 		(<-ss.orders)(context.Background())
@@ -197,7 +197,7 @@
 	ss, fw := newSession(t)
 	ss.renew(context.Background())
 	key := weir.RunKey{Task: weir.TaskRef{Job: "a"}, Run: 1}
-	ss.Start(weir.RunOrder{RunKey: key})
+	ss.Start(weir.StartOrder{RunKey: key})
 	renewalSent := fw.clk.Now()
 	fw.clk.Advance(100 * time.Millisecond)
 	requestSent := fw.clk.Now()
--- a/task.go
+++ b/task.go
@@ -32,13 +32,13 @@
 // WorkerIncarnation identifies one incarnation of a worker and its address.
 type WorkerIncarnation struct {
 	ID InstanceID
-	// Born is the incarnation: the start time in milliseconds since 1970.
-	Born    int64
-	Address string
+	// Incarnation is the worker's start time in milliseconds since 1970.
+	Incarnation int64 `json:"Born"`
+	Address     string
 }
 
-// RunOrder is an order to start a run.
-type RunOrder struct {
+// StartOrder is an order to start a run.
+type StartOrder struct {
 	RunKey
 	// Text is the job's text, as the caller submitted it.
 	Text string
@@ -85,8 +85,8 @@
 	RunKey
 	// Number increases by one with each end on one incarnation of the worker.
 	Number int64
-	// How is the reason of the end, an EndReason of internal/job/store.
-	How        string
+	// Reason is an EndReason of internal/job/store.
+	Reason     string `json:"How"`
 	Checkpoint string
 }
 
@@ -97,18 +97,18 @@
 	// Percent is the progress of a batch task, and 100 for a long-running task
 	// that is working.
 	Percent int
-	// Rough is a rough measurement over the last half second: for a task that
-	// serves users, its tail latency in milliseconds; for others, the processor
-	// use in thousandths of a core.
-	Rough float64
+	// Measurement is a rough measurement over the last half second: the tail
+	// latency in milliseconds of a task that serves users, and the processor use
+	// in thousandths of a core of others.
+	Measurement float64 `json:"Rough"`
 }
 
 // WorkerReport is a worker's report of its running and ended runs.
 type WorkerReport struct {
 	// Clock is the reading of the worker's monotonic clock.
-	Clock   time.Duration
-	Born    int64
-	Running []RunningTask
+	Clock       time.Duration
+	Incarnation int64 `json:"Born"`
+	Running     []RunningTask
 	// Ends holds the ends that were not acknowledged yet, oldest first.
 	Ends []RunEnd
 }
@@ -134,7 +134,7 @@
 // TaskWorkers sends orders to workers. An error means that the order may have
 // been executed, or may still be.
 type TaskWorkers interface {
-	Start(ctx context.Context, worker WorkerIncarnation, order RunOrder) (OrderResponse, error)
+	Start(ctx context.Context, worker WorkerIncarnation, order StartOrder) (OrderResponse, error)
 	Stop(ctx context.Context, worker WorkerIncarnation, key RunKey, token uint64) (OrderResponse, error)
 	Renew(ctx context.Context, worker WorkerIncarnation, order RenewOrder) (WorkerReport, error)
 	// Throttle limits a run to a share of its speed, from 0 to 100 percent.
@@ -143,10 +143,10 @@
 	Forget(address string)
 }
 
-// Leadership tells whether this process may send orders now. Leads reports
+// Leadership tells whether this process may send orders now. IsLeader reports
 // whether it is certainly still the leader.
 type Leadership interface {
-	Leads() bool
+	IsLeader() bool
 }
 
 // MachineState is the state of a machine at its platform.
@@ -186,9 +186,9 @@
 
 // MachineOrder orders one operation on one machine, on behalf of a leader.
 type MachineOrder struct {
-	Machine string
-	Holder  string
-	Token   uint64
+	Machine     string
+	LeaseHolder string
+	Token       uint64
 	// Wave is set for maintenance, Pool for a move to another pool.
 	Wave int64
 	Pool PoolName
