--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -97,12 +97,12 @@
 mutant ledger-floor $L/store.go 's/case !key.Timestamp.After(st.floor):/case false:/' ./$L
 mutant ledger-majority $L/group.go 's/majority := len(gr.Replicas)\/2 + 1/majority := 1/' ./$L
 mutant forgotten-keys-stay-out $L/store.go 's/ || key.Timestamp.Unix()\/60 < st.expiredUntil//' ./$L
-mutant slots internal/entry/placement/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.foreign/' ./internal/entry/placement
-mutant slots-of-earlier-owner internal/entry/placement/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.busy/' ./internal/entry/placement
-mutant older-view-is-refused internal/entry/placement/announce.go 's/case tb.view.Index < ann.SeenView || tb.view.Index == 0:/case false:/' ./internal/entry/placement
-mutant older-lease-is-refused internal/entry/placement/announce.go 's/case known \&\& ann.Lease.Before(old.lease):/case known \&\& old == nil:/' ./internal/entry/placement
-mutant consent-needs-seen-view internal/entry/placement/announce.go 's/ || ep.seenView < mem.SinceIndex//' ./internal/entry/placement
-mutant half-ejected-at-most internal/entry/placement/table.go 's/return 2\*(ejected+1) <= len(sq.endpoints)/return true/' ./internal/entry/placement
+mutant slots internal/entry/routing/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.foreign/' ./internal/entry/routing
+mutant slots-of-earlier-owner internal/entry/routing/endpoint.go 's/slots-ep.busy-ep.foreign/slots-ep.busy/' ./internal/entry/routing
+mutant older-view-is-refused internal/entry/routing/announce.go 's/case tb.view.Index < ann.SeenView || tb.view.Index == 0:/case false:/' ./internal/entry/routing
+mutant older-lease-is-refused internal/entry/routing/announce.go 's/case known \&\& ann.Lease.Before(old.lease):/case known \&\& old == nil:/' ./internal/entry/routing
+mutant consent-needs-seen-view internal/entry/routing/announce.go 's/ || ep.seenView < mem.SinceIndex//' ./internal/entry/routing
+mutant half-ejected-at-most internal/entry/routing/table.go 's/return 2\*(ejected+1) <= len(sq.endpoints)/return true/' ./internal/entry/routing
 mutant unproven-connection internal/link/httpconn/httpconn.go 's/maxAge := MaxReuseAge/maxAge := idleTimeout/' ./internal/link/httpconn
 mutant answer-needs-length internal/link/httpconn/httpconn.go 's/raw.Header.ContentLength() == noContentLength/false/' ./internal/link/httpconn
 mutant broken-is-not-retried internal/entry/dispatch/dispatch.go 's/if !req.Repeatable || ans.Kind != weir.Unknown {/if ans.Kind != weir.Unknown {/' ./internal/entry/dispatch
