--- a/internal/job/handler/handler.go
+++ b/internal/job/handler/handler.go
@@ -3,7 +3,7 @@
 //
 // Usage:
 //
-//	sv := &handler.Handler{Store: st, Committer: cm, Owner: ow, ...}
+//	sv := &handler.Handler{Store: st, Committer: cm, Scheduler: sc, ...}
 //	rep := sv.Handle(ctx, jobapi.Call{Kind: jobapi.GetState, Host: host, Path: path})
 package handler
 
